--- /dev/null
+++ b/accepted/written_test.go
@@ -0,0 +1,21 @@
+package accepted
+
+import (
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"celeryreach.example/celeryreach/writtenform"
+)
+
+func TestWritten(t *testing.T) {
+	writtenform.Check(t, "accepted", new(Accepted))
+}
+
+func TestTexts(t *testing.T) {
+	must.Eq(t, []string{
+		"config", "plan", "blocks", "config/hash",
+	}, []string{
+		RowKey, PlanKey, BlocksKey, ObjectName(RowKey, "hash"),
+	})
+}
--- /dev/null
+++ b/answer/written_test.go
@@ -0,0 +1,11 @@
+package answer
+
+import (
+	"testing"
+
+	"celeryreach.example/celeryreach/writtenform"
+)
+
+func TestWritten(t *testing.T) {
+	writtenform.Check(t, "answer", new(Answer))
+}
--- /dev/null
+++ b/knobs/written_test.go
@@ -0,0 +1,11 @@
+package knobs
+
+import (
+	"testing"
+
+	"celeryreach.example/celeryreach/writtenform"
+)
+
+func TestWritten(t *testing.T) {
+	writtenform.Check(t, "knobs", new(Knobs))
+}
--- /dev/null
+++ b/mirror/written_test.go
@@ -0,0 +1,11 @@
+package mirror
+
+import (
+	"testing"
+
+	"celeryreach.example/celeryreach/writtenform"
+)
+
+func TestWritten(t *testing.T) {
+	writtenform.Check(t, "copy", new(content))
+}
--- /dev/null
+++ b/planfollower/written_test.go
@@ -0,0 +1,15 @@
+package planfollower
+
+import (
+	"testing"
+
+	"github.com/shoenig/test/must"
+)
+
+func TestTexts(t *testing.T) {
+	must.Eq(t, []string{
+		"Plan",
+	}, []string{
+		Kind,
+	})
+}
--- /dev/null
+++ b/row/written_test.go
@@ -0,0 +1,11 @@
+package row
+
+import (
+	"testing"
+
+	"celeryreach.example/celeryreach/writtenform"
+)
+
+func TestWritten(t *testing.T) {
+	writtenform.Check(t, "row", new(Row))
+}
--- /dev/null
+++ b/sample/written_test.go
@@ -0,0 +1,15 @@
+package sample
+
+import (
+	"testing"
+
+	"github.com/shoenig/test/must"
+)
+
+func TestTexts(t *testing.T) {
+	must.Eq(t, []string{
+		"NotRun.",
+	}, []string{
+		NotRun,
+	})
+}
--- /dev/null
+++ b/sums/written_test.go
@@ -0,0 +1,11 @@
+package sums
+
+import (
+	"testing"
+
+	"celeryreach.example/celeryreach/writtenform"
+)
+
+func TestWritten(t *testing.T) {
+	writtenform.Check(t, "sums", new(Sums))
+}
--- /dev/null
+++ b/ticket/written_test.go
@@ -0,0 +1,15 @@
+package ticket
+
+import (
+	"testing"
+
+	"github.com/shoenig/test/must"
+)
+
+func TestTexts(t *testing.T) {
+	must.Eq(t, []string{
+		"ticket:",
+	}, []string{
+		prefix,
+	})
+}
--- /dev/null
+++ b/why/written_test.go
@@ -0,0 +1,11 @@
+package why
+
+import (
+	"testing"
+
+	"celeryreach.example/celeryreach/writtenform"
+)
+
+func TestWritten(t *testing.T) {
+	writtenform.Check(t, "why", new(Why))
+}
