--- a/Makefile
+++ b/Makefile
@@ -2,8 +2,10 @@
 GOLANGCI_VERSION := v2.15.0
 BIN := $(CURDIR)/.bin
 GOLANGCI := $(BIN)/golangci-lint-$(GOLANGCI_VERSION)
+GOPLS_VERSION := v0.23.0
+GOPLS := $(BIN)/gopls-$(GOPLS_VERSION)
 
-.PHONY: test format lint vet unit red build demo generate bench
+.PHONY: test format lint vet unit red build demo generate bench tools
 
 test: format lint vet unit build demo
 
@@ -44,7 +46,14 @@
 		--go_out=wire --go_opt=paths=source_relative \
 		--go-drpc_out=wire --go-drpc_opt=paths=source_relative wire/wire.proto
 
-# The linter stays outside the product's go.mod.
+# The language server, for renames over all packages.
+tools: $(GOLANGCI) $(GOPLS)
+
+# The linter and the language server stay outside the product's go.mod.
 $(GOLANGCI):
 	GOBIN=$(BIN) go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(GOLANGCI_VERSION)
 	mv $(BIN)/golangci-lint $@
+
+$(GOPLS):
+	GOBIN=$(BIN) go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	mv $(BIN)/gopls $@
