--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission finds the client account of a request by its key and takes
-// the key out of the request.
+// Package admission identifies the client account of a request by its API key and
+// removes the key from the request.
 package admission
 
 import (
@@ -11,21 +11,21 @@
 	"celeryreach.example/celeryreach/snapshot"
 )
 
-// KeyHeader carries a key where Authorization is used otherwise.
+// KeyHeader carries the API key of requests that use Authorization for other purposes.
 const KeyHeader = "X-Api-Key"
 
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
-// Admission checks keys against the configuration in force.
+// Admission checks API keys against the configuration in force.
 type Admission struct {
-	// Snapshot returns the configuration in force, nil before the first.
+	// Snapshot returns the configuration in force, or nil before the first one.
 	Snapshot func() *snapshot.Snapshot
-	// Stale reports whether this host may have missed withdrawals for too long
-	// to trust keys; nil means that it never may.
+	// Stale reports whether this host may have missed key withdrawals for too long to
+	// rely on its keys. Nil means that keys are never stale.
 	Stale func(nonIdempotent bool) bool
 }
 
-// Identify returns the credential of a request.
+// Identify returns the credential that belongs to the key of a request.
 func (a *Admission) Identify(r *http.Request) (credential.Credential, bool) {
 	k := Key(r)
 	s := a.Snapshot()
@@ -35,9 +35,9 @@
 	return s.Key(credential.Hash(k))
 }
 
-// Valid reports whether a key that was accepted before still works. It is
-// asked again right before a request leaves, since the key may have been
-// withdrawn while the request waited.
+// Valid reports whether a key that was accepted earlier is still in force. It is
+// checked again right before a request is sent, since the key may have been withdrawn
+// while the request waited.
 func (a *Admission) Valid(c credential.Credential) bool {
 	s := a.Snapshot()
 	if s == nil {
@@ -47,28 +47,28 @@
 	return ok
 }
 
-// Trusts reports whether this host may rely on its keys for a request. A host
-// that is cut off cannot hear of withdrawals.
+// Trusts reports whether this host may rely on its keys for a request. A partitioned
+// host does not receive key withdrawals.
 func (a *Admission) Trusts(nonIdempotent bool) bool {
 	return a.Stale == nil || !a.Stale(nonIdempotent)
 }
 
-// Key returns the key of a request, empty if it has none.
+// Key returns the API key of a request, or an empty string if there is none.
 func Key(r *http.Request) string {
 	if k := r.Header.Get(KeyHeader); k != "" {
 		return k
 	}
 	v := r.Header.Get("Authorization")
 	if hasBearer(v) {
-		return v[len(bearer):]
+		return v[len(bearerPrefix):]
 	}
 	return ""
 }
 
-// Fault returns what is wrong with the way a request carries its key, empty if
-// nothing is. A key is sent in one place: a copy elsewhere, in the query, a
-// cookie or a Referer, would reach the backend server, and of two keys one
-// would be charged for the other's request.
+// Fault returns the error in the way a request carries its key, empty if there is
+// none. A key must be sent in one place only: a copy in the query, a cookie or a
+// Referer would reach the backend server, and with two keys one account would be
+// charged for the other's request.
 func Fault(r *http.Request) string {
 	a, x := r.Header["Authorization"], r.Header[KeyHeader]
 	if len(a) > 1 || len(x) > 1 {
@@ -81,13 +81,15 @@
 	if k == "" {
 		return ""
 	}
-	if copied(r, k) {
+	if hasKeyElsewhere(r, k) {
 		return "the key is also in another part of the request"
 	}
 	return ""
 }
 
-func copied(r *http.Request, k string) bool {
+// hasKeyElsewhere reports whether the URL or any other header field contains the key,
+// literally or percent-encoded.
+func hasKeyElsewhere(r *http.Request, k string) bool {
 	t := r.URL.RequestURI()
 	if u, err := url.PathUnescape(t); strings.Contains(t, k) || err == nil && strings.Contains(u, k) {
 		return true
@@ -106,10 +108,10 @@
 }
 
 func hasBearer(v string) bool {
-	return len(v) > len(bearer) && strings.EqualFold(v[:len(bearer)], bearer)
+	return len(v) > len(bearerPrefix) && strings.EqualFold(v[:len(bearerPrefix)], bearerPrefix)
 }
 
-// Strip removes the key from the headers of a request.
+// Strip removes the header fields that can carry the key.
 func Strip(h http.Header) {
 	h.Del(KeyHeader)
 	h.Del("Authorization")
--- a/answer/answer.go
+++ b/answer/answer.go
@@ -1,18 +1,18 @@
-// Package answer describes what a look-up returns.
+// Package answer describes the response to a look-up of entry hosts.
 package answer
 
 import "time"
 
 // Answer names the entry hosts that a caller should use.
 type Answer struct {
-	// EntryHosts are caller addresses, best first.
+	// EntryHosts holds the addresses of the entry hosts for callers, best first.
 	EntryHosts []string
-	// TTL is how long the caller may keep the answer.
+	// TTL is how long the caller may cache the answer.
 	TTL time.Duration
 	// Region is the region that the caller is steered to.
 	Region string `json:",omitzero"`
-	// ConfigVersion is the version of the configuration behind the answer.
+	// ConfigVersion is the version of the configuration that the answer is based on.
 	ConfigVersion uint64
-	// PlanVersion is the version of the plan behind the answer.
+	// PlanVersion is the version of the routing plan that the answer is based on.
 	PlanVersion uint64 `json:",omitzero"`
 }
--- a/budget/budget.go
+++ b/budget/budget.go
@@ -1,59 +1,61 @@
-// Package budget bounds second tries by a fraction of first tries.
+// Package budget limits second attempts to a fraction of first attempts.
 package budget
 
 import "sync"
 
 const (
-	// defaultStart lets a quiet service find a silent connection at once.
-	defaultStart = 5
-	defaultLimit = 20
+	// initialRetries lets a service with little traffic make a second attempt at once
+	// when a connection has gone silent.
+	initialRetries    = 5
+	defaultMaxRetries = 20
 )
 
-// Budget counts the tries of each service. Without it, an overloaded backend
-// server would get every request twice at the moment when it can bear it least.
+// Budget counts the attempts for each service. Without it, an overloaded backend
+// server would receive every request twice at the time when it can handle that least.
 type Budget struct {
-	// Ratio returns the greatest ratio of second tries to first tries.
+	// Ratio returns the maximum ratio of second attempts to first attempts.
 	Ratio func() float64
-	// Limit returns how many second tries may follow at once; nil means 20.
+	// Limit returns how many second attempts may be made in a burst; nil means 20.
 	Limit func() float64
 
-	mu   sync.Mutex
-	left map[string]float64
+	mu        sync.Mutex
+	remaining map[string]float64
 }
 
-// First counts a first try.
+// First counts a first attempt.
 func (b *Budget) First(service string) {
 	r := b.Ratio()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left[service] = min(b.open(service)+r, b.limit())
+	b.remaining[service] = min(b.balance(service)+r, b.maxRetries())
 }
 
-// Second reports whether a second try is allowed, and counts it.
+// Second reports whether a second attempt is allowed, and counts it if so.
 func (b *Budget) Second(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	v := min(b.open(service), b.limit())
+	v := min(b.balance(service), b.maxRetries())
 	if v < 1 {
 		return false
 	}
-	b.left[service] = v - 1
+	b.remaining[service] = v - 1
 	return true
 }
 
-func (b *Budget) open(service string) float64 {
-	if b.left == nil {
-		b.left = make(map[string]float64)
+// balance returns how many second attempts a service has left.
+func (b *Budget) balance(service string) float64 {
+	if b.remaining == nil {
+		b.remaining = make(map[string]float64)
 	}
-	if v, ok := b.left[service]; ok {
+	if v, ok := b.remaining[service]; ok {
 		return v
 	}
-	return min(defaultStart, b.limit())
+	return min(initialRetries, b.maxRetries())
 }
 
-func (b *Budget) limit() float64 {
+func (b *Budget) maxRetries() float64 {
 	if b.Limit == nil {
-		return defaultLimit
+		return defaultMaxRetries
 	}
 	return b.Limit()
 }
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -9,10 +9,10 @@
 	"celeryreach.example/celeryreach/budget"
 )
 
-// A backend server is overloaded and every answer is late. The second tries that
-// follow stay a fraction of the first ones, whatever their order, so that they
-// do not keep the overload going.
-func TestSecondTriesStayInBudget(t *testing.T) {
+// When an overloaded backend server answers every request late, second attempts must
+// remain a fraction of the first ones, whatever their order, so that they do not
+// prolong the overload.
+func TestRetriesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := rapid.Float64Range(0, 0.5).Draw(t, "ratio")
 		b := &budget.Budget{Ratio: func() float64 { return q }}
--- a/deadline/deadline.go
+++ b/deadline/deadline.go
@@ -1,4 +1,4 @@
-// Package deadline ends contexts by the clock that is passed in.
+// Package deadline creates contexts whose deadline is measured by a given clock.
 package deadline
 
 import (
@@ -9,34 +9,34 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// timed is a context that also tells when it ends: a slot that a sibling lent
-// is used only by requests that are known to end within the loan.
-type timed struct {
+// timedContext is a context that reports its deadline: a slot on loan from another
+// host is used only by requests that are known to end within the loan.
+type timedContext struct {
 	context.Context
 
 	at time.Time
 }
 
 // Deadline returns when the context ends at the latest.
-func (t timed) Deadline() (time.Time, bool) {
+func (t timedContext) Deadline() (time.Time, bool) {
 	if p, ok := t.Context.Deadline(); ok && p.Before(t.at) {
 		return p, true
 	}
 	return t.at, true
 }
 
-// With returns a context that ends after d. The contexts of clockwork do not
-// serve: with a fake clock, their Err waits until the context has ended.
+// With returns a context that ends after d. The contexts of clockwork are not
+// suitable: with a fake clock, their Err blocks until the context has ended.
 func With(ctx context.Context, c clockwork.Clock, d time.Duration) (context.Context, context.CancelFunc) {
 	x, f := context.WithCancelCause(ctx)
 	t := c.AfterFunc(d, func() { f(context.DeadlineExceeded) })
-	return timed{Context: x, at: c.Now().Add(d)}, func() {
+	return timedContext{Context: x, at: c.Now().Add(d)}, func() {
 		t.Stop()
 		f(context.Canceled)
 	}
 }
 
-// Exceeded reports whether a context ended because its time ran out.
+// Exceeded reports whether a context ended because its deadline passed.
 func Exceeded(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
--- a/deadline/deadline_test.go
+++ b/deadline/deadline_test.go
@@ -11,10 +11,10 @@
 	"celeryreach.example/celeryreach/deadline"
 )
 
-// A caller of a full host waits although a sibling lends a slot: the slot is
-// taken only by a request whose deadline is within the loan, and a context
-// that ended in time but did not tell when kept every lent slot idle.
-func TestTellsItsDeadline(t *testing.T) {
+// A slot on loan from another host is given only to a request whose deadline is within
+// the loan. A context that ended in time but did not report its deadline kept all lent
+// slots idle while callers of a full host waited.
+func TestContextReportsDeadline(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	x, f := deadline.With(context.Background(), c, time.Second)
 	defer f()
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch runs an admitted request on a backend server of the host's
-// own failure domain and passes the whole answer on.
+// Package dispatch sends admitted requests to backend servers and copies the responses
+// to the callers.
 package dispatch
 
 import (
@@ -24,86 +24,88 @@
 	"celeryreach.example/celeryreach/whole"
 )
 
-// maxTries bounds the tries of one request, whatever the budget has left.
-const maxTries = 3
+// maxAttempts limits the attempts of one request, however large the retry budget is.
+const maxAttempts = 3
 
-// Refusals after which another backend server may be tried. A refusal of the
-// queue is none: it says that there is no room at all.
+// Messages of refusals after which another backend server may be tried. Refusals by
+// the queue are not among them, since they mean that no backend server has room.
 const (
-	noRoom       = "the backend server had no room"
-	noConnection = "the backend server could not be reached"
+	msgNoRoom       = "the backend server had no room"
+	msgNoConnection = "the backend server could not be reached"
 )
 
-// Dispatch serves requests of the host's own callers and forwarded ones alike.
-// It sends a non-idempotent request once, and again only after proof that it
+// Dispatch serves requests of the host's own callers as well as forwarded ones. It
+// sends a non-idempotent request once, and again only if it is proven that the request
 // did not run.
 type Dispatch struct {
 	// Clock measures deadlines.
 	Clock clockwork.Clock
-	// Place returns a slot for a request, or the outcome that says why there
-	// is none. Nil leaves it to Queue.
+	// Place returns a slot for a request, or the outcome that explains why there is
+	// none. If nil, Queue is used.
 	Place func(ctx context.Context, r *request.Request) (slot.Slot, outcome.Outcome)
-	// Queue returns the line of a service, nil if the service is not known.
+	// Queue returns the queue of a service, or nil if the service is not known.
 	Queue func(service string) *queue.Queue
-	// Keep sends non-idempotent requests on kept connections at first, where
-	// opening one costs the backend server too much.
+	// Keep allows kept-alive connections for the first attempt of non-idempotent
+	// requests, for backend servers on which opening a connection costs too much.
 	Keep bool
-	// Valid reports whether a key still works.
+	// Valid reports whether a key is still in force.
 	Valid func(c credential.Credential) bool
-	// Confirm reports whether the request's token may still be used.
+	// Confirm reports whether the rate token of a request may still be used.
 	Confirm func(r *request.Request) bool
-	// Upstream sends to backend servers.
+	// Upstream sends requests to backend servers.
 	Upstream *upstream.Upstream
-	// Timeout is the longest wait for a slot.
+	// Timeout returns the longest wait for a slot.
 	Timeout func() time.Duration
-	// Budget bounds second tries.
+	// Budget limits second attempts.
 	Budget *budget.Budget
-	// Hedge learns when an answer is late.
+	// Hedge determines when a response is late.
 	Hedge *hedge.Hedge
-	// Whole passes answers on.
+	// Whole copies responses to callers.
 	Whole *whole.Whole
-	// Linger is how long a slot stays taken after a request was canceled: the
-	// backend server works on until it has seen the connection close.
+	// Linger is how long the slot of a canceled request stays occupied: the backend
+	// server continues to work until it notices that the connection was closed.
 	Linger time.Duration
 }
 
-// try is one attempt to get the head of an answer.
-type try struct {
+// attempt is the result of sending a request once: the response, of which only the
+// header has been read, and its slot, or the outcome that explains why there is none.
+type attempt struct {
 	answer  *http.Response
 	slot    slot.Slot
 	outcome outcome.Outcome
 	index   int
 }
 
-// Serve runs r and writes the answer to w. The outcome is Answered, or says
-// why nothing was written to w. It panics with http.ErrAbortHandler when the
-// answer broke off after its head: only a broken connection tells the caller.
+// Serve runs r and writes the response to w. Unless the outcome is Answered, nothing
+// was written to w, and the outcome is the reason. Serve panics with
+// http.ErrAbortHandler if the response is truncated after its header was written,
+// since only a broken connection signals that to the caller.
 func (d *Dispatch) Serve(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
 	x, f := deadline.With(ctx, d.Clock, r.Deadline.Sub(d.Clock.Now()))
 	defer f()
 	d.Budget.First(r.Service.Name)
 	if !r.NonIdempotent {
-		return d.race(x, r, w)
+		return d.serveIdempotent(x, r, w)
 	}
-	t := d.try(x, r, !d.Keep, func() {})
-	for n := 1; n < tries(r) && d.again(t.outcome, r); n++ {
-		t = d.try(x, r, true, func() {})
+	t := d.attempt(x, r, !d.Keep, func() {})
+	for n := 1; n < attemptLimit(r) && d.mayRetry(t.outcome, r); n++ {
+		t = d.attempt(x, r, true, func() {})
 	}
-	return d.finish(x, r, t, w)
+	return d.copyAnswer(x, r, t, w)
 }
 
-// try waits for a slot and sends r. The slot is released when the outcome is
-// not empty.
-func (d *Dispatch) try(ctx context.Context, r *request.Request, fresh bool, sent func()) try {
-	s, o := d.wait(ctx, r)
+// attempt waits for a slot and sends r. If the result has an outcome, the slot has
+// been released.
+func (d *Dispatch) attempt(ctx context.Context, r *request.Request, fresh bool, sent func()) attempt {
+	s, o := d.waitForSlot(ctx, r)
 	if o.Outcome != "" {
-		return try{outcome: o}
+		return attempt{outcome: o}
 	}
 	return d.send(ctx, r, s, fresh, sent)
 }
 
-// wait returns a slot for r, or the outcome that says why there is none.
-func (d *Dispatch) wait(ctx context.Context, r *request.Request) (slot.Slot, outcome.Outcome) {
+// waitForSlot returns a slot for r, or the outcome that explains why there is none.
+func (d *Dispatch) waitForSlot(ctx context.Context, r *request.Request) (slot.Slot, outcome.Outcome) {
 	if d.Place != nil {
 		return d.Place(ctx, r)
 	}
@@ -117,67 +119,69 @@
 	}
 	s, o := q.Wait(ctx, r.Credential.Account, min(d.Timeout(), l))
 	if o.Outcome == outcome.Left && ctx.Err() != nil {
-		o = ended(ctx, false)
+		o = contextOutcome(ctx, false)
 	}
 	return s, o
 }
 
 // send sends r on a slot.
-func (d *Dispatch) send(ctx context.Context, r *request.Request, s slot.Slot, fresh bool, sent func()) try {
+func (d *Dispatch) send(ctx context.Context, r *request.Request, s slot.Slot, fresh bool, sent func()) attempt {
 	// The key may have been withdrawn while the request waited.
 	if !d.Valid(r.Credential) {
 		s.Release(result.Unused)
-		return try{outcome: refuse(outcome.KeyUnknown, "the key was withdrawn")}
+		return attempt{outcome: refuse(outcome.KeyUnknown, "the key was withdrawn")}
 	}
 	// The process may have been paused since the request was admitted.
 	if !d.Confirm(r) {
 		s.Release(result.Unused)
-		return try{outcome: refuse(outcome.OverRate, "the token is too old")}
+		return attempt{outcome: refuse(outcome.OverRate, "the token is too old")}
 	}
-	// Or since the wait ended.
+	// It may also have been paused after the wait, so that the request has ended
+	// since.
 	if ctx.Err() != nil || !r.Gate.Send() {
 		s.Release(result.Unused)
-		return try{outcome: refuse(outcome.Left, "the caller left")}
+		return attempt{outcome: refuse(outcome.Left, "the caller left")}
 	}
 	sent()
 	t := d.Clock.Now()
-	p, n, err := d.Upstream.Send(ctx, r, s.Backend, fresh) //nolint:bodyclose // finish or end closes it
+	p, n, err := d.Upstream.Send(ctx, r, s.Backend, fresh) //nolint:bodyclose // copyAnswer or close closes it
 	if err == nil {
 		d.Hedge.Observe(r.Service.Name, d.Clock.Since(t))
 		s.Answered(p.StatusCode, p.Header)
-		return try{answer: p, slot: s}
+		return attempt{answer: p, slot: s}
 	}
-	o := d.failed(ctx, r, s, n, err)
+	o := d.handleSendError(ctx, r, s, n, err)
 	if o.Ran == outcome.RanNo && !r.Gate.Return() {
 		o = refuse(outcome.Left, "the caller left")
 	}
-	return try{outcome: o}
+	return attempt{outcome: o}
 }
 
-// failed releases the slot of a request without an answer and says what became
-// of the request.
-func (d *Dispatch) failed(ctx context.Context, r *request.Request, s slot.Slot, ran bool, err error) outcome.Outcome {
+// handleSendError releases the slot of a request without a response and returns the
+// outcome of the request.
+func (d *Dispatch) handleSendError(ctx context.Context, r *request.Request, s slot.Slot, ran bool, err error) outcome.Outcome {
 	switch {
 	case errors.Is(err, upstream.ErrNotRun):
 		s.Release(result.Shed)
-		return refuse(outcome.NoCapacity, noRoom)
+		return refuse(outcome.NoCapacity, msgNoRoom)
 	case ctx.Err() != nil:
-		d.linger(s, ran)
-		return ended(ctx, ran)
-	case !ran && (unreachable(err) || errors.Is(err, upstream.ErrElsewhere)):
+		d.releaseCanceled(s, ran)
+		return contextOutcome(ctx, ran)
+	case !ran && (isDialError(err) || errors.Is(err, upstream.ErrElsewhere)):
 		s.Release(result.Refused)
-		return refuse(outcome.NoCapacity, noConnection)
+		return refuse(outcome.NoCapacity, msgNoConnection)
 	case !ran:
 		s.Release(result.Unused)
-		return refuse(outcome.NoCapacity, noConnection)
+		return refuse(outcome.NoCapacity, msgNoConnection)
 	default:
 		s.Release(result.Failed)
-		return broken(r, err)
+		return incompleteOutcome(r, err)
 	}
 }
 
-// broken is the outcome of a request that was sent and has no whole answer.
-func broken(r *request.Request, err error) outcome.Outcome {
+// incompleteOutcome returns the outcome of a request that was sent but has no complete
+// response.
+func incompleteOutcome(r *request.Request, err error) outcome.Outcome {
 	o := outcome.Outcome{Outcome: outcome.BackendFailed, Ran: outcome.RanUnknown, Message: err.Error()}
 	if r.NonIdempotent {
 		o.Outcome = outcome.OutcomeUnknown
@@ -185,49 +189,51 @@
 	return o
 }
 
-// again reports whether a try with this outcome may be followed by another.
-func (d *Dispatch) again(o outcome.Outcome, r *request.Request) bool {
-	s := o.Outcome == outcome.NoCapacity && (o.Message == noRoom || o.Message == noConnection)
+// mayRetry reports whether r may be sent again after an attempt with outcome o. If so,
+// it has rewound the body and taken the retry from the budget.
+func (d *Dispatch) mayRetry(o outcome.Outcome, r *request.Request) bool {
+	s := o.Outcome == outcome.NoCapacity && (o.Message == msgNoRoom || o.Message == msgNoConnection)
 	b := o.Outcome == outcome.BackendFailed && !r.NonIdempotent
-	if !s && !b || !rewind(r) {
+	if !s && !b || !rewindBody(r) {
 		return false
 	}
 	return d.Budget.Second(r.Service.Name)
 }
 
-// finish passes the answer of a try on, or returns its outcome.
-func (d *Dispatch) finish(ctx context.Context, r *request.Request, t try, w http.ResponseWriter) outcome.Outcome {
+// copyAnswer copies the response of an attempt to the caller, or returns the attempt's
+// outcome.
+func (d *Dispatch) copyAnswer(ctx context.Context, r *request.Request, t attempt, w http.ResponseWriter) outcome.Outcome {
 	if t.outcome.Outcome != "" {
 		return t.outcome
 	}
-	err := d.Whole.Copy(w, t.answer, func(err error) { d.free(ctx, t.slot, err) })
+	err := d.Whole.Copy(w, t.answer, func(err error) { d.releaseAfterCopy(ctx, t.slot, err) })
 	switch {
 	case err == nil:
 		return outcome.Outcome{Outcome: outcome.Answered, Ran: outcome.RanYes}
 	case errors.Is(err, whole.ErrBackend) && ctx.Err() != nil:
-		return ended(ctx, true)
+		return contextOutcome(ctx, true)
 	case errors.Is(err, whole.ErrBackend):
-		return broken(r, err)
+		return incompleteOutcome(r, err)
 	default:
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// free releases the slot of an answer that has come to its end.
-func (d *Dispatch) free(ctx context.Context, s slot.Slot, err error) {
+// releaseAfterCopy releases the slot of a response that is complete or truncated.
+func (d *Dispatch) releaseAfterCopy(ctx context.Context, s slot.Slot, err error) {
 	switch {
 	case err == nil:
 		s.Release(result.Succeeded)
 	case ctx.Err() != nil, errors.Is(err, whole.ErrCaller):
-		d.linger(s, true)
+		d.releaseCanceled(s, true)
 	default:
 		s.Release(result.Failed)
 	}
 }
 
-// linger releases the slot of a canceled request once the backend server can
-// have stopped.
-func (d *Dispatch) linger(s slot.Slot, ran bool) {
+// releaseCanceled releases the slot of a canceled request after Linger, so that the
+// backend server has had time to stop.
+func (d *Dispatch) releaseCanceled(s slot.Slot, ran bool) {
 	if !ran {
 		s.Release(result.Unused)
 		return
@@ -239,8 +245,8 @@
 	d.Clock.AfterFunc(d.Linger, func() { s.Release(result.Canceled) })
 }
 
-// ended is the outcome of a request whose context ended.
-func ended(ctx context.Context, ran bool) outcome.Outcome {
+// contextOutcome returns the outcome of a request whose context has ended.
+func contextOutcome(ctx context.Context, ran bool) outcome.Outcome {
 	o := outcome.Outcome{Outcome: outcome.Left, Ran: outcome.RanNo, Message: "the caller left"}
 	if deadline.Exceeded(ctx) {
 		o = refuse(outcome.DeadlineExceeded, "the time ran out")
@@ -251,22 +257,23 @@
 	return o
 }
 
-// unreachable reports whether no connection could be opened.
-func unreachable(err error) bool {
+// isDialError reports whether err means that no connection could be opened.
+func isDialError(err error) bool {
 	var o *net.OpError
 	return errors.As(err, &o) && o.Op == "dial"
 }
 
-// tries is how many tries a request has.
-func tries(r *request.Request) int {
+// attemptLimit returns how many attempts a request may have.
+func attemptLimit(r *request.Request) int {
 	if r.Attempts > 0 {
-		return min(r.Attempts, maxTries)
+		return min(r.Attempts, maxAttempts)
 	}
-	return maxTries
+	return maxAttempts
 }
 
-// rewind makes the body ready for another try.
-func rewind(r *request.Request) bool {
+// rewindBody rewinds the body for another attempt and reports whether that was
+// possible.
+func rewindBody(r *request.Request) bool {
 	if r.Body == nil {
 		return true
 	}
@@ -277,6 +284,7 @@
 	return true
 }
 
+// refuse returns the outcome of a request that was not run.
 func refuse(o, m string) outcome.Outcome {
 	return outcome.Outcome{Outcome: o, Ran: outcome.RanNo, Message: m}
 }
--- a/dispatch/race.go
+++ b/dispatch/race.go
@@ -11,38 +11,38 @@
 	"celeryreach.example/celeryreach/request"
 )
 
-// race is the state of an idempotent request: its tries in flight and the
-// timer of the second one.
-type race struct {
+// hedgedRequest tracks the concurrent attempts of an idempotent request.
+type hedgedRequest struct {
 	dispatch *Dispatch
 	request  *request.Request
-	results  chan try
+	results  chan attempt
 	sent     chan struct{}
 	cancels  []context.CancelFunc
 	running  int
-	// unsure tells that a try which ended without an answer may have run.
-	unsure bool
+	// mayHaveRun is set if an attempt that ended without a response may have run.
+	mayHaveRun bool
 }
 
-// race runs an idempotent request. A connection that has gone silent looks like
-// a slow backend server; a second try on a fresh connection answers in both
-// cases, and the first answer wins.
-func (d *Dispatch) race(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
-	a := &race{dispatch: d, request: r, results: make(chan try, maxTries), sent: make(chan struct{}, maxTries)}
-	defer a.end()
-	a.start(ctx, false)
-	o := d.finish(ctx, r, a.run(ctx), w)
-	// An answer that broke off while it was held back can be asked for again.
-	for o.Outcome == outcome.BackendFailed && a.more() && d.again(o, r) {
-		a.unsure = true
-		a.start(ctx, true)
-		o = d.finish(ctx, r, a.run(ctx), w)
+// serveIdempotent runs an idempotent request. If the response is late, the connection
+// may have gone silent or the backend server may be slow. A second attempt on a new
+// connection helps in both cases, and the first response is used.
+func (d *Dispatch) serveIdempotent(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
+	a := &hedgedRequest{dispatch: d, request: r, results: make(chan attempt, maxAttempts), sent: make(chan struct{}, maxAttempts)}
+	defer a.close()
+	a.startAttempt(ctx, false)
+	o := d.copyAnswer(ctx, r, a.firstAnswer(ctx), w)
+	// A response that was truncated while it was buffered can be requested again.
+	for o.Outcome == outcome.BackendFailed && a.canStart() && d.mayRetry(o, r) {
+		a.mayHaveRun = true
+		a.startAttempt(ctx, true)
+		o = d.copyAnswer(ctx, r, a.firstAnswer(ctx), w)
 	}
 	return o
 }
 
-// run returns the first try that has an answer, or the last outcome.
-func (a *race) run(ctx context.Context) try {
+// firstAnswer returns the first attempt that has a response, or the outcome of the
+// last attempt if none has.
+func (a *hedgedRequest) firstAnswer(ctx context.Context) attempt {
 	var late clockwork.Timer
 	var c <-chan time.Time
 	for {
@@ -55,57 +55,61 @@
 			}
 		case <-c:
 			c = nil
-			if a.more() && rewind(a.request) && a.dispatch.Budget.Second(a.request.Service.Name) {
-				a.start(ctx, true)
+			if a.canStart() && rewindBody(a.request) && a.dispatch.Budget.Second(a.request.Service.Name) {
+				a.startAttempt(ctx, true)
 			}
 		case t := <-a.results:
 			a.running--
 			if t.outcome.Outcome == "" {
-				a.winner(t)
+				a.cancelOthers(t)
 				return t
 			}
 			a.cancels[t.index]()
-			a.unsure = a.unsure || t.outcome.Ran != outcome.RanNo
+			a.mayHaveRun = a.mayHaveRun || t.outcome.Ran != outcome.RanNo
 			if a.running > 0 {
 				continue
 			}
-			if !a.more() || !a.dispatch.again(t.outcome, a.request) {
-				t.outcome = a.honest(t.outcome)
+			if !a.canStart() || !a.dispatch.mayRetry(t.outcome, a.request) {
+				t.outcome = a.combinedOutcome(t.outcome)
 				return t
 			}
-			a.start(ctx, true)
+			a.startAttempt(ctx, true)
 		}
 	}
 }
 
-// honest makes the outcome of the last try that of the whole request: a try before
-// it may have run, and then nobody may be told that the request did not.
-func (a *race) honest(o outcome.Outcome) outcome.Outcome {
-	if !a.unsure || o.Ran != outcome.RanNo {
+// combinedOutcome turns the outcome of the last attempt into that of the request. If
+// an earlier attempt may have run, the caller must not be informed that the request
+// did not run.
+func (a *hedgedRequest) combinedOutcome(o outcome.Outcome) outcome.Outcome {
+	if !a.mayHaveRun || o.Ran != outcome.RanNo {
 		return o
 	}
-	return outcome.Outcome{Outcome: outcome.BackendFailed, Ran: outcome.RanUnknown, Message: "a try may have run; then: " + o.Message}
+	return outcome.Outcome{Outcome: outcome.BackendFailed, Ran: outcome.RanUnknown, Message: "an earlier attempt may have run; the last one ended with: " + o.Message}
 }
 
-func (a *race) more() bool {
-	return len(a.cancels) < tries(a.request)
+// canStart reports whether the request may have another attempt.
+func (a *hedgedRequest) canStart() bool {
+	return len(a.cancels) < attemptLimit(a.request)
 }
 
-func (a *race) start(ctx context.Context, fresh bool) {
+// startAttempt starts an attempt in its own goroutine, on a new connection if fresh is
+// set.
+func (a *hedgedRequest) startAttempt(ctx context.Context, fresh bool) {
 	x, f := context.WithCancel(ctx)
 	n := len(a.cancels)
 	a.cancels = append(a.cancels, f)
 	a.running++
 	go func(r request.Request) {
-		t := a.dispatch.try(x, &r, fresh, func() { a.sent <- struct{}{} })
+		t := a.dispatch.attempt(x, &r, fresh, func() { a.sent <- struct{}{} })
 		t.index = n
 		a.results <- t
 	}(*a.request)
 }
 
-// winner cancels the other tries: the backend servers stop working on them
-// while the answer is passed on.
-func (a *race) winner(t try) {
+// cancelOthers cancels all attempts but t, so that the other backend servers stop
+// working while the response is copied.
+func (a *hedgedRequest) cancelOthers(t attempt) {
 	for i, f := range a.cancels {
 		if i != t.index {
 			f()
@@ -113,8 +117,9 @@
 	}
 }
 
-// end waits for the tries that lost and gives back what they hold.
-func (a *race) end() {
+// close cancels the attempts that are still running, waits for them and releases their
+// slots.
+func (a *hedgedRequest) close() {
 	for _, f := range a.cancels {
 		f()
 	}
@@ -122,7 +127,7 @@
 		t := <-a.results
 		if t.answer != nil {
 			t.answer.Body.Close()
-			a.dispatch.linger(t.slot, true)
+			a.dispatch.releaseCanceled(t.slot, true)
 		}
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,4 +1,5 @@
-// Package gateway takes a caller's request from its key to its answer.
+// Package gateway admits requests of callers, places them on backend servers and
+// records how they end.
 package gateway
 
 import (
@@ -30,19 +31,19 @@
 )
 
 const (
-	// sampled is how many requests that were answered, or whose caller left, have
-	// their lines in the log once.
-	sampled = 100
-	// patienceParts is the part of the objective that a request may wait for a
-	// slot. A caller that is refused after that can still be served in time
-	// when it comes back.
-	patienceParts = 8
-	// permitTries is for how many backend servers a permit is asked for at least, also when
-	// a request has no patience left: on a second try, or after a question to another
-	// region.
-	permitTries = 2
-	// retryAfter is when a request that found no room may come back, about the
-	// time in which a backend server ends its running requests.
+	// logSampleInterval thins the log: of the requests that were answered or whose
+	// caller left, one in this many is logged.
+	logSampleInterval = 100
+	// maxWaitDivisor sets the longest wait for a slot to a fraction of the latency
+	// objective. A caller that is refused after that wait can retry and still be
+	// served within the objective.
+	maxWaitDivisor = 8
+	// minPermitRequests is the minimum number of backend servers for which a permit is
+	// requested, even if no waiting time is left, as on a second attempt or after a
+	// permit request to another region.
+	minPermitRequests = 2
+	// retryAfter is the delay after which a refused request may be sent again, about
+	// the time in which a backend server finishes its running requests.
 	retryAfter = 250 * time.Millisecond
 )
 
@@ -50,37 +51,38 @@
 type Gateway struct {
 	// Clock measures deadlines.
 	Clock clockwork.Clock
-	// Log receives one line for each request that was not answered, and for a
-	// sample of the answered.
+	// Log receives one line for each request that failed, and for a sample of those
+	// that were answered or whose caller left.
 	Log *log.Logger
-	// Book returns the configuration in force, nil before the first.
+	// Book returns the configuration in force, or nil before the first one.
 	Book func() *ingressbook.Ingressbook
-	// StoreAge returns how long ago the store last answered a host that this one
-	// hears on the configuration; ok is false if it never did.
+	// StoreAge returns the time since the store last answered this host or another one
+	// from which it receives the configuration; ok is false if it never did.
 	StoreAge func() (d time.Duration, ok bool)
 	// Tokens hold the rates of client accounts.
 	Tokens *tokens.Tokens
-	// Placement chooses backend servers.
+	// Placement chooses backend servers for requests.
 	Placement *placement.Placement
-	// Permit asks whether one more request may be sent to a backend server now, and if
-	// not, in which time it may; nil permits all.
+	// Permit requests permission to send one more request to a backend server now. If
+	// it is denied, again is the time after which it may be granted. Nil permits all
+	// requests.
 	Permit func(ctx context.Context, b backend.Backend) (again time.Duration, ok bool)
-	// Load reads a backend server's report on itself out of an answer.
+	// Load reads the load that a backend server reports in the header of a response.
 	Load func(h http.Header) (running, waiting int, ok bool)
-	// Dispatch sends a request and passes the answer on.
+	// Dispatch sends a request and copies the response to the caller.
 	Dispatch func(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome
-	// Latency takes the time of each answered request.
+	// Latency records the duration of each answered request.
 	Latency *latency.Latency
-	// Counted is told how each request ended.
+	// Counted is called with the outcome of each request.
 	Counted func(o string)
 
-	split split.Split
-	usual atomic.Uint64 // requests that were answered or whose caller left
+	split       split.Split
+	sampleCount atomic.Uint64 // requests subject to sampling in the log
 }
 
-// Serve runs r, of which the caller has said what it is, and which it is sent
-// with key and path. The outcome says why nothing was written to w, unless it
-// is Answered.
+// Serve admits and runs r, which was sent to path with the given key. The caller of
+// Serve has set the fields of r that come from the HTTP request. Unless the outcome is
+// Answered, nothing was written to w, and the outcome is the reason.
 func (g *Gateway) Serve(ctx context.Context, r *request.Request, path, key string, w http.ResponseWriter) outcome.Outcome {
 	n := g.Clock.Now()
 	b := g.Book()
@@ -88,13 +90,13 @@
 		return refuse(outcome.Leaving, "no configuration is known yet", retryAfter)
 	}
 	i, o := g.admit(ctx, b, r, path, key)
-	// An answer that breaks off after its head ends in a panic, which cuts the
-	// caller's connection; it is told all the same.
+	// If the response is truncated after its header, Dispatch panics to close the
+	// caller's connection. The request is recorded in that case too.
 	defer func() {
 		if o.Outcome == "" {
 			o = outcome.Outcome{Outcome: outcome.Broken, Ran: outcome.RanYes, Message: "the answer broke off after its head"}
 		}
-		g.tell(b, r, i, o, g.Clock.Since(n))
+		g.recordEnd(b, r, i, o, g.Clock.Since(n))
 	}()
 	if o.Outcome == "" {
 		o = g.run(ctx, r, w)
@@ -102,23 +104,24 @@
 	return o
 }
 
-// admit finds the route and the client account of r and takes its token.
+// admit finds the route and the client account of r and takes a token from the
+// account's rate.
 func (g *Gateway) admit(ctx context.Context, b *ingressbook.Ingressbook, r *request.Request, path, key string) (*ingress.Ingress, outcome.Outcome) {
 	i := b.Route(r.Host, path)
 	if i == nil {
-		g.decided(b, r)
+		g.traceRefusal(b, r)
 		return nil, refuse(outcome.NoRoute, "no route has this path", 0)
 	}
 	var a *account.Account
 	if !i.Public && b.Keyed() {
 		a = b.Account(key)
 		if a == nil {
-			return i, g.unknown(b, r, key)
+			return i, g.refuseKey(b, r, key)
 		}
 		r.Account = a.Name
 		r.Credential = credential.Credential{Account: a.Name, Hash: credential.Hash(key)}
 	}
-	g.describe(b, r, i, a)
+	g.applyRoute(b, r, i, a)
 	if a != nil {
 		n, d, ok := g.Tokens.Take(ctx, a.Name, r.Patience)
 		if !ok {
@@ -130,18 +133,18 @@
 	return i, outcome.Outcome{}
 }
 
-// unknown refuses a request whose key no client account holds.
-func (g *Gateway) unknown(b *ingressbook.Ingressbook, r *request.Request, key string) outcome.Outcome {
+// refuseKey refuses a request whose key is missing or belongs to no client account.
+func (g *Gateway) refuseKey(b *ingressbook.Ingressbook, r *request.Request, key string) outcome.Outcome {
 	if key == "" {
-		g.decided(b, r)
+		g.traceRefusal(b, r)
 		return refuse(outcome.KeyUnknown, "the request has no key", 0)
 	}
-	g.decided(b, r, withdrawn(b, credential.Hash(key))...)
+	g.traceRefusal(b, r, withdrawnFields(b, credential.Hash(key))...)
 	return refuse(outcome.KeyUnknown, "the key is not known", 0)
 }
 
-// decided notes the state of the configuration that refuses r.
-func (g *Gateway) decided(b *ingressbook.Ingressbook, r *request.Request, fields ...any) {
+// traceRefusal adds the state of the configuration that refuses r to the trail of r.
+func (g *Gateway) traceRefusal(b *ingressbook.Ingressbook, r *request.Request, fields ...any) {
 	n := g.Clock.Now()
 	var a any = "never"
 	if d, ok := g.StoreAge(); ok {
@@ -154,8 +157,9 @@
 		append([]any{"Version", b.Config.Version, "ConfigAge", n.Sub(b.Since), "StoreAge", a}, fields...)...)
 }
 
-// withdrawn returns the log fields that tell whether a key was withdrawn.
-func withdrawn(b *ingressbook.Ingressbook, hash string) []any {
+// withdrawnFields returns the log fields that show whether a key was withdrawn, and in
+// which version of the configuration.
+func withdrawnFields(b *ingressbook.Ingressbook, hash string) []any {
 	v, ok := b.Withdrawn(hash)
 	if !ok {
 		return []any{"Withdrawn", false}
@@ -163,8 +167,8 @@
 	return []any{"Withdrawn", true, "WithdrawnBy", v}
 }
 
-// describe puts on r what the route and the account say of it.
-func (g *Gateway) describe(b *ingressbook.Ingressbook, r *request.Request, i *ingress.Ingress, a *account.Account) {
+// applyRoute sets the fields of r that the route and the client account determine.
+func (g *Gateway) applyRoute(b *ingressbook.Ingressbook, r *request.Request, i *ingress.Ingress, a *account.Account) {
 	n := g.Clock.Now()
 	if t := n.Add(i.Timeout); i.Timeout > 0 && t.Before(r.Deadline) {
 		r.Deadline = t
@@ -177,7 +181,7 @@
 	r.Route = i.Name
 	r.NonIdempotent = i.NonIdempotent
 	r.Attempts = i.Attempts
-	r.Patience = i.Objective / patienceParts
+	r.Patience = i.Objective / maxWaitDivisor
 	r.Tried = new(tried.Tried)
 	r.Trail = new(trail.Trail)
 	r.Priority = i.Priority
@@ -190,14 +194,15 @@
 		}
 	}
 	if len(h)+len(o) > 0 {
-		r.Homes = func(v string) bool { return allows(h, v) && allows(o, v) }
+		r.Homes = func(v string) bool { return allowsRegion(h, v) && allowsRegion(o, v) }
 	}
 	if !i.Sticky {
 		r.Object = ""
 	}
 }
 
-// run serves r until its deadline.
+// run sends r to a backend server and returns the token of its account if it did not
+// run.
 func (g *Gateway) run(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
 	d := r.Deadline.Sub(g.Clock.Now())
 	if d <= 0 {
@@ -209,7 +214,7 @@
 	o := g.Dispatch(x, r, w)
 	if o.Outcome == outcome.KeyUnknown {
 		b := g.Book()
-		g.decided(b, r, withdrawn(b, r.Credential.Hash)...)
+		g.traceRefusal(b, r, withdrawnFields(b, r.Credential.Hash)...)
 	}
 	if o.Ran == outcome.RanNo && r.Account != "" {
 		g.Tokens.Return(r.Account)
@@ -217,16 +222,16 @@
 	return o
 }
 
-// Place waits for a slot of a backend server for r, as long as its patience
-// lasts.
+// Place waits for a slot on a backend server until r.Patience has passed since r was
+// admitted.
 func (g *Gateway) Place(ctx context.Context, r *request.Request) (slot.Slot, outcome.Outcome) {
 	u := r.Admitted.Add(r.Patience)
-	n := 0 // questions for a permit that were in vain
+	n := 0 // denied permits
 	for {
 		c := g.Placement.Freed()
 		b, ok, m := g.Placement.Take(r)
-		if ok && g.permitted(ctx, r, b) {
-			return g.slot(r, b), outcome.Outcome{}
+		if ok && g.requestPermit(ctx, r, b) {
+			return g.newSlot(r, b), outcome.Outcome{}
 		}
 		if ok {
 			n++
@@ -235,11 +240,11 @@
 		switch {
 		case ok && ctx.Err() != nil:
 			return slot.Slot{}, refuse(outcome.Left, "the caller left", 0)
-		case ok && (d > 0 || n < permitTries):
-			continue // there may be a permit for another backend server
+		case ok && (d > 0 || n < minPermitRequests):
+			continue // another backend server may grant a permit
 		case !m || d <= 0:
 			r.Trail.Add(g.Clock.Now(), "request not placed", "Service", r.Service.Name, "Usable", m, "Patience", r.Patience, "Priority", r.Priority)
-			return slot.Slot{}, refuse(outcome.NoCapacity, "no backend server has room", g.comeBack(r, m))
+			return slot.Slot{}, refuse(outcome.NoCapacity, "no backend server has room", g.retryDelay(r, m))
 		}
 		select {
 		case <-c:
@@ -250,9 +255,9 @@
 	}
 }
 
-// permitted reports whether r may be sent to the backend server that was taken for it. If
-// not, r no longer counts there.
-func (g *Gateway) permitted(ctx context.Context, r *request.Request, b backend.Backend) bool {
+// requestPermit reports whether r may be sent to the backend server that was taken for
+// it. If not, r no longer counts as load there.
+func (g *Gateway) requestPermit(ctx context.Context, r *request.Request, b backend.Backend) bool {
 	if g.Permit == nil {
 		return true
 	}
@@ -264,17 +269,17 @@
 	return ok
 }
 
-// comeBack returns when a request that found no place may come back: if no backend
-// server could be used at all, not before one may get a request again.
-func (g *Gateway) comeBack(r *request.Request, usable bool) time.Duration {
+// retryDelay returns when a request that was not placed may be sent again: if no
+// backend server was usable, not before one may receive requests again.
+func (g *Gateway) retryDelay(r *request.Request, usable bool) time.Duration {
 	if usable {
 		return retryAfter
 	}
 	return max(retryAfter, g.Placement.Again(r))
 }
 
-// slot makes the slot of a request on a backend server.
-func (g *Gateway) slot(r *request.Request, b backend.Backend) slot.Slot {
+// newSlot returns the slot of a request on a backend server.
+func (g *Gateway) newSlot(r *request.Request, b backend.Backend) slot.Slot {
 	r.Tried.Add(b.Name)
 	return slot.Slot{
 		Backend: b,
@@ -292,23 +297,26 @@
 	}
 }
 
-// Valid reports whether a key that a request came with still works.
+// Valid reports whether the key that a request came with is still in force. A request
+// without a key is always valid.
 func (g *Gateway) Valid(c credential.Credential) bool {
 	return c.Hash == "" || g.Book().Holds(c.Hash)
 }
 
+// releaseOnce returns a function that calls f on its first call only.
 func releaseOnce(f func(result.Result)) func(result.Result) {
 	var o sync.Once
 	return func(r result.Result) { o.Do(func() { f(r) }) }
 }
 
-// tell logs the end of a request.
-func (g *Gateway) tell(b *ingressbook.Ingressbook, r *request.Request, i *ingress.Ingress, o outcome.Outcome, d time.Duration) {
+// recordEnd counts and logs the end of a request, and records the latency of an
+// answered one.
+func (g *Gateway) recordEnd(b *ingressbook.Ingressbook, r *request.Request, i *ingress.Ingress, o outcome.Outcome, d time.Duration) {
 	g.Counted(o.Outcome)
 	if o.Outcome == outcome.Answered {
 		g.Latency.Observe(r.Route, d)
 	}
-	if (o.Outcome == outcome.Answered || o.Outcome == outcome.Left) && g.usual.Add(1)%sampled != 0 {
+	if (o.Outcome == outcome.Answered || o.Outcome == outcome.Left) && g.sampleCount.Add(1)%logSampleInterval != 0 {
 		return
 	}
 	n := ""
@@ -321,11 +329,14 @@
 		"Backends", r.Tried.Names(), "Took", d, "Version", b.Config.Version)
 }
 
+// refuse returns the outcome of a request that was not run.
 func refuse(o, m string, d time.Duration) outcome.Outcome {
 	return outcome.Outcome{Outcome: o, Ran: outcome.RanNo, Message: m, RetryAfter: d}
 }
 
-func allows(homes []string, region string) bool {
+// allowsRegion reports whether homes, a list of allowed regions, contains the region.
+// An empty list allows all.
+func allowsRegion(homes []string, region string) bool {
 	if len(homes) == 0 {
 		return true
 	}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -34,29 +34,29 @@
 	"celeryreach.example/celeryreach/tried"
 )
 
-// world is a host that has a configuration and no backend servers.
-type world struct {
-	clock     *clockwork.FakeClock
-	gateway   *gateway.Gateway
-	book      *ingressbook.Ingressbook
-	store     *freshness.Freshness
-	log       *logbuffer.Logbuffer
-	meanwhile func() // happens while a request waits
+// fixture is a host with a configuration and no backend servers.
+type fixture struct {
+	clock        *clockwork.FakeClock
+	gateway      *gateway.Gateway
+	book         *ingressbook.Ingressbook
+	store        *freshness.Freshness
+	log          *logbuffer.Logbuffer
+	whileWaiting func() // called while a request waits
 }
 
-// The scripts tell what the log says of refused requests.
+// The scripts check the log lines of refused requests.
 //
-//	configuration VERSION KEY...  comes into force, with these keys and the route /listings/
+//	configuration VERSION KEY...  puts a configuration with these keys and the route /listings/ in force
 //	many VERSION N                the same, with the keys key-1 to key-N
-//	answers                       the store answers some host
-//	pass DURATION                 time goes on
-//	meanwhile VERSION KEY...      a configuration that comes while the next request waits
-//	call ID PATH [KEY]            prints the outcome and the request's lines
+//	answers                       the store answers a host
+//	pass DURATION                 advances the clock
+//	meanwhile VERSION KEY...      puts a configuration in force while the next request waits
+//	call ID PATH [KEY]            prints the outcome and the log lines of a request
 func TestGateway(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(e *testscript.Env) error {
-			e.Values["world"] = newWorld()
+			e.Values["world"] = newFixture()
 			return nil
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
@@ -65,9 +65,9 @@
 	})
 }
 
-func newWorld() *world {
+func newFixture() *fixture {
 	c := clockwork.NewFakeClock()
-	w := &world{clock: c, store: &freshness.Freshness{Clock: c}, log: new(logbuffer.Logbuffer), meanwhile: func() {}}
+	w := &fixture{clock: c, store: &freshness.Freshness{Clock: c}, log: new(logbuffer.Logbuffer), whileWaiting: func() {}}
 	w.gateway = &gateway.Gateway{
 		Clock: c, Log: log.NewWithOptions(w.log, log.Options{Formatter: log.LogfmtFormatter}),
 		Book: func() *ingressbook.Ingressbook { return w.book },
@@ -85,16 +85,16 @@
 	return w
 }
 
-// dispatch asks after the wait whether the key still works.
-func (w *world) dispatch(_ context.Context, r *request.Request, _ http.ResponseWriter) outcome.Outcome {
-	w.meanwhile()
+// dispatch checks after the wait whether the key is still in force.
+func (w *fixture) dispatch(_ context.Context, r *request.Request, _ http.ResponseWriter) outcome.Outcome {
+	w.whileWaiting()
 	if !w.gateway.Valid(r.Credential) {
 		return outcome.Outcome{Outcome: outcome.KeyUnknown, Ran: outcome.RanNo, Message: "the key was withdrawn"}
 	}
 	return outcome.Outcome{Outcome: outcome.Answered, Ran: outcome.RanYes}
 }
 
-func (w *world) configure(version int, keys []string) {
+func (w *fixture) configure(version int, keys []string) {
 	c := &config.Config{
 		Version: uint64(version), Accounts: []account.Account{{Name: "unity", Rate: 100, Burst: 100}},
 		Routes: []ingress.Ingress{{Name: "view", Host: "camps.example", Prefix: "/listings/"}},
@@ -106,14 +106,14 @@
 	w.gateway.Tokens.Set(c.Accounts)
 }
 
-func on(s *testscript.TestScript) *world { return s.Value("world").(*world) }
+func fixtureOf(s *testscript.TestScript) *fixture { return s.Value("world").(*fixture) }
 
 func number(s *testscript.TestScript, a string) int {
 	return scripttest.Scripttest{Script: s}.Number(a)
 }
 
 func configuration(s *testscript.TestScript, _ bool, a []string) {
-	on(s).configure(number(s, a[0]), a[1:])
+	fixtureOf(s).configure(number(s, a[0]), a[1:])
 }
 
 func many(s *testscript.TestScript, _ bool, a []string) {
@@ -121,25 +121,25 @@
 	for i := range number(s, a[1]) {
 		l = append(l, fmt.Sprint("key-", i+1))
 	}
-	on(s).configure(number(s, a[0]), l)
+	fixtureOf(s).configure(number(s, a[0]), l)
 }
 
-func answers(s *testscript.TestScript, _ bool, _ []string) { on(s).store.Seen() }
+func answers(s *testscript.TestScript, _ bool, _ []string) { fixtureOf(s).store.Seen() }
 
 func pass(s *testscript.TestScript, _ bool, a []string) {
-	on(s).clock.Advance(scripttest.Scripttest{Script: s}.Duration(a[0]))
+	fixtureOf(s).clock.Advance(scripttest.Scripttest{Script: s}.Duration(a[0]))
 }
 
 func meanwhile(s *testscript.TestScript, _ bool, a []string) {
-	w, v := on(s), number(s, a[0])
-	w.meanwhile = func() {
+	w, v := fixtureOf(s), number(s, a[0])
+	w.whileWaiting = func() {
 		w.configure(v, a[1:])
-		w.meanwhile = func() {}
+		w.whileWaiting = func() {}
 	}
 }
 
 func call(s *testscript.TestScript, _ bool, a []string) {
-	w := on(s)
+	w := fixtureOf(s)
 	r := &request.Request{ID: a[0], Host: "camps.example", Method: http.MethodGet, Deadline: w.clock.Now().Add(time.Minute)}
 	k := ""
 	if len(a) > 2 {
@@ -159,10 +159,10 @@
 	}
 }
 
-// place lets a host place a request for one of two backend servers, of which some have a
-// permit only after a time.
-func place(ctx context.Context, patience time.Duration, again map[string]time.Duration) (slot.Slot, outcome.Outcome) {
-	w := newWorld()
+// placeRequest places a request on one of two backend servers; again is the time after
+// which a backend server may grant a permit, if it does not grant one now.
+func placeRequest(ctx context.Context, patience time.Duration, again map[string]time.Duration) (slot.Slot, outcome.Outcome) {
+	w := newFixture()
 	p := &placement.Placement{Clock: w.clock, Rate: func(string) (float64, time.Duration) { return 0, 0 }}
 	p.Set([]backend.Backend{{Name: "c1", Slots: 2}, {Name: "c2", Slots: 2}}, func(string) time.Time { return time.Time{} })
 	w.gateway.Placement = p
@@ -174,30 +174,32 @@
 	})
 }
 
-// A request without a permit for one backend server is refused while another has one, is
-// sent without, or waits in vain.
-func TestPlaceWithoutAPermit(t *testing.T) {
+// A request that is denied a permit for one backend server must be placed on another
+// one that grants it. If none does, it must be refused at once, and must never be sent
+// without a permit.
+func TestPlaceSkipsBackendsWithoutPermit(t *testing.T) {
 	for _, p := range []time.Duration{time.Second, 0} {
 		for _, n := range []string{"c1", "c2"} {
-			s, o := place(t.Context(), p, map[string]time.Duration{n: time.Second})
+			s, o := placeRequest(t.Context(), p, map[string]time.Duration{n: time.Second})
 			must.EqOp(t, "", o.Outcome)
 			must.NotEqOp(t, n, s.Backend.Name)
 		}
-		_, o := place(t.Context(), p, map[string]time.Duration{"c1": 700 * time.Millisecond, "c2": 400 * time.Millisecond})
+		_, o := placeRequest(t.Context(), p, map[string]time.Duration{"c1": 700 * time.Millisecond, "c2": 400 * time.Millisecond})
 		must.EqOp(t, outcome.NoCapacity, o.Outcome)
 		must.EqOp(t, outcome.RanNo, o.Ran)
 		must.EqOp(t, 400*time.Millisecond, o.RetryAfter)
 	}
 }
 
-// A request whose time runs out is told that its caller has left, though the caller waits
-// and may come back.
-func TestPlaceWithoutTime(t *testing.T) {
+// A request whose waiting time has run out must not be reported as Left, since its
+// caller may still wait and send it again. Left is the outcome only if the context
+// ended while a permit was requested.
+func TestPlaceOutcomeAfterDeadline(t *testing.T) {
 	x, stop := context.WithCancel(t.Context())
 	stop()
-	_, o := place(x, 0, map[string]time.Duration{"c1": time.Second, "c2": time.Second})
+	_, o := placeRequest(x, 0, map[string]time.Duration{"c1": time.Second, "c2": time.Second})
 	must.EqOp(t, outcome.Left, o.Outcome)
-	w := newWorld()
+	w := newFixture()
 	_, o = w.gateway.Place(x, &request.Request{ID: "r1", Admitted: w.clock.Now(), Trail: new(trail.Trail)})
 	must.EqOp(t, outcome.NoCapacity, o.Outcome)
 	must.Positive(t, o.RetryAfter)
--- a/hedge/hedge.go
+++ b/hedge/hedge.go
@@ -1,4 +1,4 @@
-// Package hedge learns when an answer is late enough for a second try.
+// Package hedge determines when a response is late enough for a second attempt.
 package hedge
 
 import (
@@ -8,60 +8,61 @@
 )
 
 const (
-	samples  = 128
-	every    = 16
-	quantile = 0.95
+	maxSamples = 128
+	// updateInterval is the number of observations between updates of the delay.
+	updateInterval = 16
+	quantile       = 0.95
 )
 
-// Hedge learns the delay of each service from its answers.
+// Hedge derives a delay for each service from the latency of its responses.
 type Hedge struct {
-	// Initial is the delay before enough answers have been seen.
+	// Initial is the delay before enough responses have been observed.
 	Initial time.Duration
-	// Least and Most bound the delay. Most is also the time within which a
-	// connection that has gone silent is found out.
+	// Least and Most limit the delay. Most is also the time within which a connection
+	// that has gone silent is detected.
 	Least, Most time.Duration
 
-	mu       sync.Mutex
-	services map[string]*service
+	mu     sync.Mutex
+	delays map[string]*serviceDelay
 }
 
-type service struct {
-	ring  [samples]time.Duration
+type serviceDelay struct {
+	ring  [maxSamples]time.Duration
 	count int
 	delay time.Duration
 }
 
-// Delay returns the time after which an answer counts as late.
+// Delay returns the time after which a response counts as late.
 func (h *Hedge) Delay(name string) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := h.services[name]
+	s := h.delays[name]
 	if s == nil || s.delay == 0 {
 		return h.Initial
 	}
 	return s.delay
 }
 
-// Observe takes the time that an answer needed to begin. The delay is twice
-// their 95th percentile: at the percentile itself one request in twenty would
-// be sent twice on an ordinary day.
+// Observe records the time until the header of a response arrived. The delay is twice
+// the 95th percentile of these times: the percentile itself would send one request in
+// twenty twice under normal conditions.
 func (h *Hedge) Observe(name string, d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.services == nil {
-		h.services = make(map[string]*service)
+	if h.delays == nil {
+		h.delays = make(map[string]*serviceDelay)
 	}
-	s := h.services[name]
+	s := h.delays[name]
 	if s == nil {
-		s = new(service)
-		h.services[name] = s
+		s = new(serviceDelay)
+		h.delays[name] = s
 	}
-	s.ring[s.count%samples] = d
+	s.ring[s.count%maxSamples] = d
 	s.count++
-	if s.count%every != 0 {
+	if s.count%updateInterval != 0 {
 		return
 	}
-	v := append([]time.Duration(nil), s.ring[:min(s.count, samples)]...)
+	v := append([]time.Duration(nil), s.ring[:min(s.count, maxSamples)]...)
 	sort.Slice(v, func(i, j int) bool { return v[i] < v[j] })
 	q := v[int(quantile*float64(len(v)-1))]
 	s.delay = min(max(2*q, h.Least), h.Most)
--- a/httplisten/guard.go
+++ b/httplisten/guard.go
@@ -10,64 +10,64 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// guard closes a connection whose caller takes too long for a header, or stays
-// idle. The server's own timeouts are fixed when it starts, and an operator's
-// change would not reach connections that are kept open for hours.
-type guard struct {
+// connTimeout closes a connection whose caller takes too long for a header or stays
+// idle. The timeouts of http.Server are fixed when it starts, so that changes by an
+// operator would not apply to connections that are kept open for hours.
+type connTimeout struct {
 	clock clockwork.Clock
 	conn  net.Conn
 
-	mu    sync.Mutex
-	timer clockwork.Timer
-	turn  int // counts what the connection does, so that a timer that is late does nothing
+	mu         sync.Mutex
+	timer      clockwork.Timer
+	generation int // incremented whenever the timer changes, so that a timer that fires late has no effect
 }
 
-// arm closes the connection after d unless it goes on before.
-func (g *guard) arm(d time.Duration) {
+// arm closes the connection after d unless it is armed again or disarmed before.
+func (g *connTimeout) arm(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.stop()
-	n := g.turn
+	g.cancelTimer()
+	n := g.generation
 	g.timer = g.clock.AfterFunc(d, func() { g.expire(n) })
 }
 
-func (g *guard) disarm() {
+func (g *connTimeout) disarm() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.stop()
+	g.cancelTimer()
 }
 
-func (g *guard) stop() {
-	g.turn++
+func (g *connTimeout) cancelTimer() {
+	g.generation++
 	if g.timer != nil {
 		g.timer.Stop()
 		g.timer = nil
 	}
 }
 
-func (g *guard) expire(turn int) {
+func (g *connTimeout) expire(generation int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.turn == turn {
-		_ = g.conn.Close() // the caller is gone or not worth waiting for
+	if g.generation == generation {
+		_ = g.conn.Close() // the caller is gone or too slow
 	}
 }
 
-// guards keeps the guard of each open connection.
-type guards struct {
+// connTimeouts holds the timeout of each open connection.
+type connTimeouts struct {
 	clock clockwork.Clock
-	// limits returns how long a caller may take for the first header, and how
-	// long a connection may be without a request.
+	// limits returns how long a caller may take for the first header, and how long a
+	// connection may be without a request.
 	limits func() (header, idle time.Duration)
 
 	mu    sync.Mutex
-	conns map[net.Conn]*guard
+	conns map[net.Conn]*connTimeout
 }
 
-// changed follows the state of a connection: it is active when a request's header
+// stateChanged follows the state of a connection: active when the header of a request
 // has been read, and idle when the request has been answered.
-func (g *guards) changed(c net.Conn, s http.ConnState) {
-	v := g.guard(c, s)
+func (g *connTimeouts) stateChanged(c net.Conn, s http.ConnState) {
+	v := g.timeoutOf(c, s)
 	h, i := g.limits()
 	switch s {
 	case http.StateNew:
@@ -79,12 +79,14 @@
 	}
 }
 
-func (g *guards) guard(c net.Conn, s http.ConnState) *guard {
+// timeoutOf returns the timeout of a connection in state s. It forgets connections
+// that have ended.
+func (g *connTimeouts) timeoutOf(c net.Conn, s http.ConnState) *connTimeout {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	v := g.conns[c]
 	if v == nil {
-		v = &guard{clock: g.clock, conn: c}
+		v = &connTimeout{clock: g.clock, conn: c}
 		g.conns[c] = v
 	}
 	if s == http.StateClosed || s == http.StateHijacked {
--- a/httplisten/guard_test.go
+++ b/httplisten/guard_test.go
@@ -16,8 +16,8 @@
 	"celeryreach.example/celeryreach/httplisten"
 )
 
-// world is one server and one caller's connection to it.
-type world struct {
+// fixture is one server and a caller's connection to it.
+type fixture struct {
 	clock  *clockwork.FakeClock
 	header atomic.Int64
 	idle   atomic.Int64
@@ -25,10 +25,10 @@
 	answer *bufio.Reader
 }
 
-func start(t *testing.T) *world {
+func start(t *testing.T) *fixture {
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	w := &world{clock: clockwork.NewFakeClock()}
+	w := &fixture{clock: clockwork.NewFakeClock()}
 	w.header.Store(int64(3 * time.Second))
 	w.idle.Store(int64(15 * time.Second))
 	s := &httplisten.Httplisten{
@@ -52,40 +52,40 @@
 	return w
 }
 
-// call sends a request, reads its answer, and returns when the server waits for
-// the next one.
-func (w *world) call(t *testing.T) {
+// call sends a request, reads its response, and returns when the server waits for the
+// next request.
+func (w *fixture) call(t *testing.T) {
 	_, err := io.WriteString(w.conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	must.NoError(t, err)
 	p, err := http.ReadResponse(w.answer, nil)
 	must.NoError(t, err)
 	must.NoError(t, p.Body.Close())
-	w.waits(t)
+	w.waitForTimer(t)
 }
 
-func (w *world) waits(t *testing.T) {
+func (w *fixture) waitForTimer(t *testing.T) {
 	must.NoError(t, w.clock.BlockUntilContext(t.Context(), 1))
 }
 
-func (w *world) closed(t *testing.T) {
+func (w *fixture) mustBeClosed(t *testing.T) {
 	_, err := w.answer.ReadByte()
 	must.Error(t, err)
 }
 
-// A caller keeps its connection and sends nothing for longer than the operator
-// allows. It is closed; a caller that comes back sooner is served on it.
+// A connection without requests for the configured idle time is closed. A caller that
+// sends its next request sooner is served on the same connection.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	w := start(t)
 	w.call(t)
 	w.clock.Advance(14 * time.Second)
 	w.call(t)
 	w.clock.Advance(15 * time.Second)
-	w.closed(t)
+	w.mustBeClosed(t)
 }
 
-// An operator allows connections to be idle for longer. That holds for those that
-// are open already, from their next request on.
-func TestNewLimitHoldsForOpenConnections(t *testing.T) {
+// A longer idle limit set by an operator also applies to connections that are already
+// open, from their next request on.
+func TestNewLimitAppliesToOpenConnections(t *testing.T) {
 	w := start(t)
 	w.call(t)
 	w.idle.Store(int64(time.Minute))
@@ -93,16 +93,16 @@
 	w.clock.Advance(30 * time.Second)
 	w.call(t)
 	w.clock.Advance(time.Minute)
-	w.closed(t)
+	w.mustBeClosed(t)
 }
 
-// A caller connects and never completes a header. Its connection is closed, so that
-// such callers cannot use up all descriptors.
+// A connection on which the caller never completes a header is closed, so that such
+// callers cannot use up all file descriptors.
 func TestSlowHeaderIsClosed(t *testing.T) {
 	w := start(t)
 	_, err := io.WriteString(w.conn, "GET / HTTP/1.1\r\n")
 	must.NoError(t, err)
-	w.waits(t)
+	w.waitForTimer(t)
 	w.clock.Advance(3 * time.Second)
-	w.closed(t)
+	w.mustBeClosed(t)
 }
--- a/httplisten/httplisten.go
+++ b/httplisten/httplisten.go
@@ -1,4 +1,4 @@
-// Package httplisten runs an HTTP server as a supervised part of a host.
+// Package httplisten runs an HTTP server as a supervised component of a host.
 package httplisten
 
 import (
@@ -12,41 +12,43 @@
 )
 
 const (
-	// Slow headers hold nothing but a connection, and that not for long.
-	headerTimeout = 5 * time.Second
-	headerBytes   = 64 << 10
-	// A kept connection without a request is closed, so that connections that
-	// went silent do not add up.
+	// A client that sends its header slowly occupies only a connection, so a few
+	// seconds are acceptable.
+	headerTimeout  = 5 * time.Second
+	maxHeaderBytes = 64 << 10
+	// Idle connections are closed so that connections that have gone silent do not
+	// accumulate.
 	idleTimeout = 2 * time.Minute
 )
 
-// Httplisten serves one handler on one listener and lets requests in flight
-// finish when it ends.
+// Httplisten serves one handler on one listener. When it ends, requests in flight can
+// finish.
 type Httplisten struct {
 	// Listener accepts connections. Run closes it.
 	Listener net.Listener
 	// Handler serves the requests.
 	Handler http.Handler
-	// Leave, if set, runs after ctx has ended and before the listener closes.
+	// Leave, if set, runs after ctx has ended and before the listener is closed.
 	Leave func(ctx context.Context)
 	// Limits, if set, returns how long a caller may take for the header of the first
-	// request on a connection, and how long until that of a next one is complete;
-	// zero means 5 s and 2 min. It is asked anew for each wait, by Clock.
+	// request on a connection, and how long until the header of a later request is
+	// complete; zero means 5 s and 2 min. It is called again for each wait, which
+	// Clock measures.
 	Limits func() (header, idle time.Duration)
-	// Clock times what Limits says.
+	// Clock measures the waits that Limits bounds.
 	Clock clockwork.Clock
-	// DrainTimeout bounds the wait for requests in flight.
+	// DrainTimeout limits the wait for requests in flight.
 	DrainTimeout time.Duration
 }
 
 // Run serves until ctx ends and the last request has finished.
 func (l *Httplisten) Run(ctx context.Context) error {
-	s := &http.Server{Handler: l.Handler, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: headerBytes, IdleTimeout: idleTimeout}
+	s := &http.Server{Handler: l.Handler, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout}
 	if l.Limits != nil {
-		g := &guards{clock: l.Clock, limits: l.Limits, conns: make(map[net.Conn]*guard)}
-		s.ConnState = g.changed
-		// The guards take the place of the server's own timeouts, which could be
-		// shorter than what an operator allows.
+		g := &connTimeouts{clock: l.Clock, limits: l.Limits, conns: make(map[net.Conn]*connTimeout)}
+		s.ConnState = g.stateChanged
+		// connTimeouts replaces the server's own timeouts, which could be shorter than
+		// the limits of an operator.
 		s.ReadHeaderTimeout, s.IdleTimeout = 0, 0
 	}
 	e := make(chan error, 1)
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,21 +1,21 @@
-// Package outcome describes how a request ended when it ended without the
-// backend server's answer.
+// Package outcome describes how a request ended that has no response from a backend
+// server.
 package outcome
 
 import "time"
 
-// Outcome is the typed body of every answer that the system itself makes.
+// Outcome is the typed body of every response that the system itself generates.
 type Outcome struct {
 	// Outcome is the cause, one of the constants of this package.
 	Outcome string
-	// Ran tells whether a backend server ran the request: "no", "yes" or
-	// "unknown". "no" is a promise.
+	// Ran is "no", "yes" or "unknown", depending on whether a backend server ran the
+	// request. "no" is a guarantee.
 	Ran string
-	// Message says the cause in words.
+	// Message describes the cause for humans.
 	Message string `json:",omitzero"`
-	// RetryAfter is the earliest time that a new attempt has a chance.
+	// RetryAfter is the shortest delay after which a new attempt may succeed.
 	RetryAfter time.Duration `json:",omitzero"`
-	// EntryHosts are the caller addresses to try, best first.
+	// EntryHosts holds the addresses of entry hosts to try, best first.
 	EntryHosts []string `json:",omitzero"`
 }
 
@@ -28,49 +28,49 @@
 
 // Values of Outcome.
 const (
-	// Answered is a whole answer; it is counted, never sent.
+	// Answered is a request with a complete response; it is counted, never sent.
 	Answered = "Answered"
-	// Left says that the caller went away before an answer.
+	// Left is a request whose caller went away before a response.
 	Left = "Left"
-	// KeyUnknown is a missing, wrong or withdrawn key.
+	// KeyUnknown is a request with a missing, wrong or withdrawn key.
 	KeyUnknown = "KeyUnknown"
-	// KeyStale is a refusal of a cut-off domain that cannot check keys.
+	// KeyStale is a refusal by a partitioned failure domain, which cannot check keys.
 	KeyStale = "KeyStale"
 	// OverRate is a request above its account's rate and burst.
 	OverRate = "OverRate"
-	// NoCapacity is a request for which no slot came free in time.
+	// NoCapacity is a request for which no slot became free in time.
 	NoCapacity = "NoCapacity"
-	// NoRoute is a path that no service has.
+	// NoRoute is a request whose path matches no service.
 	NoRoute = "NoRoute"
-	// BadRequest is a request that the protocol forbids.
+	// BadRequest is a request that violates the protocol.
 	BadRequest = "BadRequest"
-	// Leaving is a host that is shutting down.
+	// Leaving is a refusal by a host that is shutting down.
 	Leaving = "Leaving"
 	// StoreUnavailable is a non-idempotent request that could not be recorded.
 	StoreUnavailable = "StoreUnavailable"
-	// Running says that an earlier attempt with the same id still runs.
+	// Running is a request with the id of an earlier attempt that is still running.
 	Running = "Running"
-	// Conflict is an id that was used before with another request body.
+	// Conflict is a request with an id that was used before with another body.
 	Conflict = "Conflict"
-	// AnswerNotKept is a request that ran and whose answer was too large to
-	// be given again.
+	// AnswerNotKept is a repetition of a request that ran and whose response was too
+	// large to be stored.
 	AnswerNotKept = "AnswerNotKept"
-	// TicketElsewhere is a ticket of another host, which alone may run it.
+	// TicketElsewhere is a request with a ticket of another host, which alone may run
+	// it.
 	TicketElsewhere = "TicketElsewhere"
-	// TooLarge is a request with an id whose body is too large to be compared
-	// with that of a repetition.
+	// TooLarge is a request with an id whose body is too large to be compared with
+	// that of a repetition.
 	TooLarge = "TooLarge"
-	// HeaderTooLarge is a request whose header is longer than the configuration
-	// allows.
+	// HeaderTooLarge is a request whose header exceeds the configured limit.
 	HeaderTooLarge = "HeaderTooLarge"
-	// Broken is an answer that broke off after its head had been sent; the
-	// caller's connection is cut, so it is counted, never sent.
+	// Broken is a response that was truncated after its header was sent. It is
+	// counted, never sent, since the connection to the caller is closed.
 	Broken = "Broken"
-	// BackendFailed is a backend server that broke off; idempotent requests
-	// may be sent again.
+	// BackendFailed is a request whose backend server failed or truncated its
+	// response; idempotent requests may be sent again.
 	BackendFailed = "BackendFailed"
 	// OutcomeUnknown is a non-idempotent request that may have run.
 	OutcomeUnknown = "OutcomeUnknown"
-	// DeadlineExceeded is a request whose time ran out.
+	// DeadlineExceeded is a request whose deadline passed.
 	DeadlineExceeded = "DeadlineExceeded"
 )
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -1,4 +1,4 @@
-// Package refusal writes outcomes to callers.
+// Package refusal writes outcomes to callers as HTTP responses.
 package refusal
 
 import (
@@ -11,7 +11,7 @@
 	"celeryreach.example/celeryreach/outcome"
 )
 
-// Status returns the HTTP status that fits an outcome.
+// Status returns the HTTP status of an outcome.
 func Status(o outcome.Outcome) int {
 	switch o.Outcome {
 	case outcome.KeyUnknown:
@@ -41,11 +41,11 @@
 	}
 }
 
-// Write sends an outcome as the whole answer.
+// Write sends an outcome as the complete response.
 func Write(w http.ResponseWriter, o outcome.Outcome) {
 	b, err := codec.Marshal(o)
 	if err != nil {
-		panic(err) // an Outcome holds nothing that JSON cannot
+		panic(err) // every Outcome can be encoded as JSON
 	}
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -54,6 +54,7 @@
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(float64(o.RetryAfter)/float64(time.Second)))))
 	}
 	w.WriteHeader(Status(o))
-	// A failed write means that the caller left; there is nobody to tell.
+	// A failed write means that the caller has gone away, so there is nobody to
+	// inform.
 	_, _ = w.Write(b)
 }
--- a/streampool/streampool.go
+++ b/streampool/streampool.go
@@ -1,5 +1,4 @@
-// Package streampool opens streams to other hosts and keeps their connections
-// for a while.
+// Package streampool opens streams to other hosts and reuses their connections.
 package streampool
 
 import (
@@ -16,44 +15,44 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// ErrBusy says that too many connections are being opened.
+// ErrBusy is returned while too many connections are being opened.
 var ErrBusy = errors.New("too many connections are being opened")
 
-// endWait bounds the wait for the end of a stream.
-const endWait = 100 * time.Millisecond
+// streamEndTimeout limits the wait for the end of a stream.
+const streamEndTimeout = 100 * time.Millisecond
 
-// Streampool keeps idle connections. A drpc connection carries one stream at a
-// time, so that a slow answer holds up nothing else.
+// Streampool keeps idle connections. A drpc connection carries one stream at a time,
+// so a slow response does not delay other streams.
 type Streampool struct {
 	// Clock measures how long connections are idle.
 	Clock clockwork.Clock
 	// Dial opens a connection.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Idle is how long a connection is kept after a whole answer came over it.
-	// Longer than that nothing proves that it still works.
+	// Idle is how long a connection is kept after a complete response. After a longer
+	// time nothing proves that it still works.
 	Idle time.Duration
-	// PerAddress is how many idle connections to an address are kept.
+	// PerAddress limits the idle connections that are kept for an address.
 	PerAddress int
-	// Dials is how many connections are opened at once. A region that went
-	// silent must not tie up every waiting request in a dial.
+	// Dials limits the connections that are opened at the same time, so that an
+	// unresponsive region cannot block every waiting request in a dial.
 	Dials int
 
-	mu    sync.Mutex
-	idle  map[string][]kept
-	dials int
+	mu      sync.Mutex
+	idle    map[string][]idleConn
+	dialing int
 }
 
-type kept struct {
+type idleConn struct {
 	conn  *drpcconn.Conn
 	since time.Time
 }
 
-// Open starts a stream. Reused tells that its connection carried others before.
-// Done ends the stream; clean tells that it came to its proper end.
+// Open starts a stream. Reused reports whether its connection has carried other
+// streams before. Done ends the stream; clean means that the stream was complete.
 func (p *Streampool) Open(ctx context.Context, address string, fresh bool) (s wire.DRPCPeer_ForwardClient, reused bool, done func(clean bool), err error) {
 	var c *drpcconn.Conn
 	if !fresh {
-		c = p.take(address)
+		c = p.takeIdle(address)
 	}
 	reused = c != nil
 	if c == nil {
@@ -67,17 +66,17 @@
 		_ = c.Close()
 		return nil, reused, nil, errors.Wrap(err, "forward stream")
 	}
-	return s, reused, func(clean bool) { p.done(address, c, s, clean) }, nil
+	return s, reused, func(clean bool) { p.release(address, c, s, clean) }, nil
 }
 
-// Run ends all idle connections when ctx ends.
+// Run closes all idle connections when ctx ends.
 func (p *Streampool) Run(ctx context.Context) error {
 	<-ctx.Done()
 	p.Close()
 	return nil
 }
 
-// Close ends all idle connections.
+// Close closes all idle connections.
 func (p *Streampool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,17 +88,18 @@
 	p.idle = nil
 }
 
+// dial opens a connection unless Dials connections are being opened.
 func (p *Streampool) dial(ctx context.Context, address string) (*drpcconn.Conn, error) {
 	p.mu.Lock()
-	if p.dials >= p.Dials {
+	if p.dialing >= p.Dials {
 		p.mu.Unlock()
 		return nil, ErrBusy
 	}
-	p.dials++
+	p.dialing++
 	p.mu.Unlock()
 	n, err := p.Dial(ctx, address)
 	p.mu.Lock()
-	p.dials--
+	p.dialing--
 	p.mu.Unlock()
 	if err != nil {
 		return nil, errors.Wrap(err, "forward")
@@ -107,9 +107,10 @@
 	return drpcconn.New(n), nil
 }
 
-// take returns the connection that was used last, and closes those that are
-// too old.
-func (p *Streampool) take(address string) *drpcconn.Conn {
+// takeIdle returns the most recently used connection to an address. If that one is
+// closed or idle for too long, it closes all idle connections to the address and
+// returns nil.
+func (p *Streampool) takeIdle(address string) *drpcconn.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.idle[address]
@@ -119,7 +120,7 @@
 	}
 	k := l[n-1]
 	p.idle[address] = l[:n-1]
-	if p.Clock.Since(k.since) > p.Idle || closed(k.conn) {
+	if p.Clock.Since(k.since) > p.Idle || isClosed(k.conn) {
 		for _, v := range l {
 			_ = v.conn.Close()
 		}
@@ -129,14 +130,15 @@
 	return k.conn
 }
 
-// done keeps the connection if the stream has ended on both sides.
-func (p *Streampool) done(address string, c *drpcconn.Conn, s wire.DRPCPeer_ForwardClient, clean bool) {
+// release returns the connection to the pool if the stream has ended on both sides,
+// and closes it otherwise.
+func (p *Streampool) release(address string, c *drpcconn.Conn, s wire.DRPCPeer_ForwardClient, clean bool) {
 	if !clean {
 		_ = c.Close()
 		return
 	}
-	t := p.Clock.AfterFunc(endWait, func() { _ = c.Close() })
-	ok := p.drained(s) && s.Close() == nil
+	t := p.Clock.AfterFunc(streamEndTimeout, func() { _ = c.Close() })
+	ok := p.readEnd(s) && s.Close() == nil
 	t.Stop()
 	if !ok {
 		_ = c.Close()
@@ -145,18 +147,19 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.idle[address]
-	if len(l) >= p.PerAddress || closed(c) {
+	if len(l) >= p.PerAddress || isClosed(c) {
 		_ = c.Close()
 		return
 	}
 	if p.idle == nil {
-		p.idle = make(map[string][]kept)
+		p.idle = make(map[string][]idleConn)
 	}
-	p.idle[address] = append(l, kept{conn: c, since: p.Clock.Now()})
+	p.idle[address] = append(l, idleConn{conn: c, since: p.Clock.Now()})
 }
 
-// drained reads the end of a stream, which follows its last frame at once.
-func (p *Streampool) drained(s wire.DRPCPeer_ForwardClient) bool {
+// readEnd reads to the end of the stream, which directly follows its last frame, and
+// reports whether the stream ended properly.
+func (p *Streampool) readEnd(s wire.DRPCPeer_ForwardClient) bool {
 	for {
 		m, err := s.Recv()
 		if err != nil {
@@ -168,7 +171,7 @@
 	}
 }
 
-func closed(c *drpcconn.Conn) bool {
+func isClosed(c *drpcconn.Conn) bool {
 	select {
 	case <-c.Closed():
 		return true
--- a/streampool/streampool_test.go
+++ b/streampool/streampool_test.go
@@ -15,21 +15,21 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// rig is a pool before a real server on loopback.
-type rig struct {
+// fixture is a pool with a real server on loopback.
+type fixture struct {
 	pool    *Streampool
 	clock   *clockwork.FakeClock
 	address string
 	dials   int
-	// ended is told of each stream whose caller went away.
-	ended chan error
+	// canceled receives the error of each stream whose caller went away.
+	canceled chan error
 }
 
-func newRig(t *testing.T) *rig {
+func newFixture(t *testing.T) *fixture {
 	var c net.ListenConfig
 	l, err := c.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	r := &rig{clock: clockwork.NewFakeClock(), address: l.Addr().String(), ended: make(chan error, 10)}
+	r := &fixture{clock: clockwork.NewFakeClock(), address: l.Addr().String(), canceled: make(chan error, 10)}
 	s := &peerserver.Peerserver{Listener: l, OnForward: r.echo}
 	x, f := context.WithCancel(context.Background())
 	d := make(chan error, 1)
@@ -50,8 +50,9 @@
 	return r
 }
 
-// echo answers a head with an end, and anything else by waiting for the caller.
-func (r *rig) echo(s wire.DRPCPeer_ForwardStream) error {
+// echo responds to a request frame with an end frame. After any other frame it waits
+// until the caller goes away.
+func (r *fixture) echo(s wire.DRPCPeer_ForwardStream) error {
 	m, err := s.Recv()
 	if err != nil {
 		return err
@@ -60,12 +61,12 @@
 		return s.Send(&wire.Frame{Part: &wire.Frame_End{End: true}})
 	}
 	<-s.Context().Done()
-	r.ended <- s.Context().Err()
+	r.canceled <- s.Context().Err()
 	return s.Context().Err()
 }
 
-// exchange passes one request and reports whether its connection was reused.
-func (r *rig) exchange(t *testing.T, fresh, clean bool) bool {
+// sendRequest sends one request and reports whether its connection was reused.
+func (r *fixture) sendRequest(t *testing.T, fresh, clean bool) bool {
 	s, reused, done, err := r.pool.Open(t.Context(), r.address, fresh)
 	must.NoError(t, err)
 	must.NoError(t, s.Send(&wire.Frame{Part: &wire.Frame_Request{Request: &wire.Request{}}}))
@@ -76,43 +77,43 @@
 	return reused
 }
 
-// Requests to another region would each wait for a dial of 110 ms. A connection
-// that carried a whole answer a moment ago is used again, but not one that broke
-// off, is old, or when a fresh one is asked for.
-func TestReuse(t *testing.T) {
-	r := newRig(t)
-	must.False(t, r.exchange(t, false, true))
-	must.True(t, r.exchange(t, false, true))
-	must.False(t, r.exchange(t, true, false))
-	must.True(t, r.exchange(t, false, false))
-	must.False(t, r.exchange(t, false, true))
+// Without reuse, each request to another region waits for a dial of 110 ms. A
+// connection that recently carried a complete response is reused, but not after a
+// truncated response, after the idle time, or if a fresh connection is requested.
+func TestConnectionReuse(t *testing.T) {
+	r := newFixture(t)
+	must.False(t, r.sendRequest(t, false, true))
+	must.True(t, r.sendRequest(t, false, true))
+	must.False(t, r.sendRequest(t, true, false))
+	must.True(t, r.sendRequest(t, false, false))
+	must.False(t, r.sendRequest(t, false, true))
 	r.clock.Advance(2 * time.Second)
-	must.False(t, r.exchange(t, false, true))
+	must.False(t, r.sendRequest(t, false, true))
 	must.EqOp(t, 4, r.dials)
 }
 
-// A caller that leaves cancels the request at the other end at once, else it
-// would hold a slot there until its deadline.
+// A caller that goes away cancels the request at the other host at once. Otherwise the
+// request would occupy a slot there until its deadline.
 func TestCancelReachesOtherEnd(t *testing.T) {
-	r := newRig(t)
+	r := newFixture(t)
 	x, f := context.WithCancel(t.Context())
 	s, _, done, err := r.pool.Open(x, r.address, false)
 	must.NoError(t, err)
 	must.NoError(t, s.Send(&wire.Frame{Part: &wire.Frame_Alive{Alive: true}}))
 	f()
-	must.Error(t, <-r.ended)
+	must.Error(t, <-r.canceled)
 	_, err = s.Recv()
 	must.False(t, errors.Is(err, io.EOF))
 	done(false)
 }
 
-// A region that went silent swallows dials. They must not pile up: one more is
-// refused at once, before anything of its request was sent.
+// Dials to a region that has gone silent block. They must not accumulate: one more
+// than allowed fails at once, before any part of its request is sent.
 func TestBoundedDials(t *testing.T) {
-	r := newRig(t)
-	in := make(chan struct{})
+	r := newFixture(t)
+	dialStarted := make(chan struct{})
 	r.pool.Dial = func(ctx context.Context, _ string) (net.Conn, error) {
-		close(in)
+		close(dialStarted)
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -122,7 +123,7 @@
 		_, _, _, err := r.pool.Open(x, r.address, false)
 		d <- err
 	}()
-	<-in
+	<-dialStarted
 	_, _, _, err := r.pool.Open(t.Context(), r.address, false)
 	must.ErrorIs(t, err, ErrBusy)
 	f()
--- a/tried/tried.go
+++ b/tried/tried.go
@@ -1,16 +1,16 @@
-// Package tried remembers which backend servers a request was sent to.
+// Package tried records which backend servers a request was sent to.
 package tried
 
 import "sync"
 
-// Tried is shared by all tries of one request, so that a second try goes to
-// another backend server than the first. A nil Tried is empty.
+// Tried is shared by all attempts of one request, so that a second attempt goes to a
+// backend server other than the first. A nil Tried is empty.
 type Tried struct {
 	mu    sync.Mutex
 	names map[string]bool
 }
 
-// Add notes a backend server.
+// Add records a backend server.
 func (t *Tried) Add(name string) {
 	if t == nil {
 		return
@@ -23,7 +23,7 @@
 	t.names[name] = true
 }
 
-// Has reports whether the request was sent to a backend server.
+// Has reports whether the request was sent to the backend server.
 func (t *Tried) Has(name string) bool {
 	if t == nil {
 		return false
@@ -33,7 +33,7 @@
 	return t.names[name]
 }
 
-// Names returns the backend servers, in no order.
+// Names returns the names of the backend servers in no particular order.
 func (t *Tried) Names() []string {
 	if t == nil {
 		return nil
--- a/upstream/body.go
+++ b/upstream/body.go
@@ -8,46 +8,48 @@
 	"github.com/pkg/errors"
 )
 
-// body hides the type of the caller's body from net/http, which repeats a
-// request by itself when it sees no body or one that it can read again.
+// body hides the type of the caller's body from net/http, which by itself repeats a
+// request that has no body or one that can be read again.
 type body struct {
-	reader  io.Reader
-	touched *atomic.Bool
+	reader      io.Reader
+	readStarted *atomic.Bool
 
 	mu     sync.Mutex
 	sealed bool
 }
 
-// Read reads the caller's body.
+// Read reads the caller's body until seal is called.
 func (b *body) Read(p []byte) (int, error) {
 	if b.reader == nil {
 		return 0, io.EOF
 	}
-	if !b.touch() {
+	if !b.claim() {
 		return 0, errors.New("the request has ended")
 	}
 	return b.reader.Read(p)
 }
 
-// Close leaves the caller's body to net/http's server, which owns it.
+// Close does nothing: the server side of net/http owns the caller's body.
 func (b *body) Close() error {
 	return nil
 }
 
-// touch claims the body for this request. It is one step with seal, so that a
-// transport that still winds up cannot take bytes from the next try.
-func (b *body) touch() bool {
+// claim marks the caller's body as read and reports whether this request may still
+// read it. It shares a lock with seal, so that a transport that is still shutting down
+// cannot take bytes from the next attempt.
+func (b *body) claim() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.sealed {
 		return false
 	}
-	if b.touched != nil {
-		b.touched.Store(true)
+	if b.readStarted != nil {
+		b.readStarted.Store(true)
 	}
 	return true
 }
 
+// seal prevents all further reads of the caller's body.
 func (b *body) seal() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/upstream/connections.go
+++ b/upstream/connections.go
@@ -6,26 +6,26 @@
 	"celeryreach.example/celeryreach/sealconn"
 )
 
-// connections follows a request over the connections that net/http sends it on: it
-// repeats an idempotent one by itself when a kept connection breaks.
-type connections struct {
-	again   func() // called for each connection after the first
-	now     *sealconn.Sealconn
-	written bool // on one of the connections before
+// connTracker tracks the connections on which net/http sends a request: net/http by
+// itself repeats an idempotent request when a reused connection breaks.
+type connTracker struct {
+	onRepeat func() // called for each connection after the first one
+	current  *sealconn.Sealconn
+	written  bool // whether an earlier connection was written to
 }
 
-// got takes the next connection.
-func (c *connections) got(i httptrace.GotConnInfo) {
-	if c.now != nil {
-		c.written = c.wrote()
-		c.again()
+// gotConn is called by httptrace when net/http takes a connection for the request.
+func (c *connTracker) gotConn(i httptrace.GotConnInfo) {
+	if c.current != nil {
+		c.written = c.sealWritten()
+		c.onRepeat()
 	}
-	c.now = i.Conn.(*sealconn.Sealconn)
-	c.now.Mark()
+	c.current = i.Conn.(*sealconn.Sealconn)
+	c.current.Mark()
 }
 
-// wrote seals the connection and reports whether anything of the request was written
-// on any.
-func (c *connections) wrote() bool {
-	return c.written || c.now != nil && !c.now.Seal()
+// sealWritten seals the current connection and reports whether any part of the request
+// was written to it or to an earlier one.
+func (c *connTracker) sealWritten() bool {
+	return c.written || c.current != nil && !c.current.Seal()
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -18,108 +18,111 @@
 	"celeryreach.example/celeryreach/whole"
 )
 
-// Header fields that backend servers see.
+// Header fields that are sent to backend servers.
 const (
-	// IDHeader carries the id that a backend server echoes in its answer, so
-	// that an answer that belongs to another request is found out.
+	// IDHeader carries an id that the backend server echoes in its response, so that a
+	// response to another request is detected.
 	IDHeader = "X-Request-Id"
-	// TimeoutHeader carries the time that is left, "1.5s" for example.
+	// TimeoutHeader carries the time until the deadline, for example "1.5s".
 	TimeoutHeader = "Request-Timeout"
 )
 
 const (
-	headerBytes = 64 << 10
-	// A connection that stops answering probes is closed after 5 s, also
-	// while a request waits on it: the answer of a peer that lost track of the
-	// connection would never come.
+	maxHeaderBytes = 64 << 10
+	// TCP keepalive probes close a connection whose peer does not respond for 5 s,
+	// even while a request waits on it: a peer that has lost the state of the
+	// connection would never send the response.
 	probeIdle     = 2 * time.Second
 	probeInterval = time.Second
 	probeCount    = 3
 )
 
-// ErrNotRun is the backend server's own word that it did not run the request.
-var ErrNotRun = errors.New("the backend server refused the request unrun")
+// ErrNotRun is returned if the backend server itself reports that it did not run the
+// request.
+var ErrNotRun = errors.New("the backend server refused the request without running it")
 
-// ErrElsewhere says that the address belongs to another backend server now,
-// which did not run the request.
+// ErrElsewhere is returned if the address now belongs to another backend server, which
+// did not run the request.
 var ErrElsewhere = errors.New("another backend server has the address")
 
-// Upstream sends requests through net/http's transports.
+// Upstream sends requests through the transports of net/http.
 type Upstream struct {
-	// Clock measures what is left of deadlines.
+	// Clock measures the time until deadlines.
 	Clock clockwork.Clock
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
-	// Dress puts on a request what a backend server is told beside what the
-	// caller sent; left is the time until the deadline. Nil means IDHeader
-	// and TimeoutHeader.
+	// Dress sets the header fields that a backend server receives in addition to those
+	// of the caller; left is the time until the deadline. Nil sets IDHeader and
+	// TimeoutHeader.
 	Dress func(h http.Header, r *request.Request, b backend.Backend, left time.Duration)
-	// Verdict judges an answer: ErrNotRun, or why it cannot be passed on. Nil
-	// means this package's own rules.
+	// Verdict checks a response. It returns ErrNotRun, or the reason why the response
+	// cannot be passed on. Nil applies the rules of this package.
 	Verdict func(p *http.Response, r *request.Request, b backend.Backend) (ran bool, err error)
-	// Keep sends non-idempotent requests on kept connections too.
+	// Keep allows kept-alive connections for non-idempotent requests too.
 	Keep bool
 	// Dial opens a connection to a backend server; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Heard is told the header of each answer that is proven to be from b, and when
-	// its request went out. Served is false if b refused the request unrun or failed.
-	// Nil means that nobody is told.
+	// Heard is called with the header of each response that is proven to be from b,
+	// and with the time at which its request was sent. Served is false if b refused
+	// the request without running it, or failed. Nil disables the call.
 	Heard func(b backend.Backend, sent time.Time, h http.Header, served bool)
-	// Repeated is told that net/http sends a request to b once more by itself, on
-	// another connection. Nil means that nobody is told.
+	// Repeated is called when net/http by itself sends a request to b again on another
+	// connection. Nil disables the call.
 	Repeated func(b backend.Backend)
 
-	reused http.Transport
-	fresh  http.Transport
+	// keepAlive reuses idle connections; singleUse opens one for each request.
+	keepAlive http.Transport
+	singleUse http.Transport
 
-	mu     sync.Mutex
-	echoes map[string]bool
+	mu sync.Mutex
+	// echoesID records, by address, which backend servers have echoed IDHeader.
+	echoesID map[string]bool
 }
 
-// New returns an Upstream that keeps idle connections for idempotent requests
-// only. A kept connection can have gone silent, and net/http repeats requests
-// on kept connections by itself.
+// New returns an Upstream that reuses idle connections for idempotent requests only.
+// An idle connection may have gone silent, and net/http by itself repeats requests on
+// reused connections.
 func New(c clockwork.Clock, dial time.Duration) *Upstream {
-	u := &Upstream{Clock: c, DialTimeout: dial, echoes: make(map[string]bool)}
-	u.reused.DialContext = u.dial
-	u.reused.MaxIdleConnsPerHost = 8
-	u.reused.IdleConnTimeout = 10 * time.Second
-	u.reused.DisableCompression = true
-	u.reused.MaxResponseHeaderBytes = headerBytes
-	u.fresh.DialContext = u.dial
-	u.fresh.DisableKeepAlives = true
-	u.fresh.DisableCompression = true
-	u.fresh.MaxResponseHeaderBytes = headerBytes
+	u := &Upstream{Clock: c, DialTimeout: dial, echoesID: make(map[string]bool)}
+	u.keepAlive.DialContext = u.dial
+	u.keepAlive.MaxIdleConnsPerHost = 8
+	u.keepAlive.IdleConnTimeout = 10 * time.Second
+	u.keepAlive.DisableCompression = true
+	u.keepAlive.MaxResponseHeaderBytes = maxHeaderBytes
+	u.singleUse.DialContext = u.dial
+	u.singleUse.DisableKeepAlives = true
+	u.singleUse.DisableCompression = true
+	u.singleUse.MaxResponseHeaderBytes = maxHeaderBytes
 	return u
 }
 
-// Send sends r to b, on a new connection if fresh is set or if r is not
-// idempotent. Ran is false only if it is proven that b did not run r: no byte
-// was written and none can be any more, or b itself says so.
+// Send sends r to b, on a new connection if fresh is set or if r is not idempotent and
+// Keep is not set. Ran is false only if it is proven that b did not run r: either no
+// byte was written and none can be written later, or b itself reports it.
 func (u *Upstream) Send(ctx context.Context, r *request.Request, b backend.Backend, fresh bool) (p *http.Response, ran bool, err error) {
-	c := &connections{again: func() {
+	c := &connTracker{onRepeat: func() {
 		if u.Repeated != nil {
 			u.Repeated(b)
 		}
 	}}
-	x := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: c.got})
-	y := &body{reader: r.Body, touched: r.Touched}
-	q, err := u.request(x, r, b, y)
+	x := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: c.gotConn})
+	y := &body{reader: r.Body, readStarted: r.Touched}
+	q, err := u.newRequest(x, r, b, y)
 	if err != nil {
 		return nil, false, err
 	}
-	t := &u.reused
+	t := &u.keepAlive
 	if fresh || r.NonIdempotent && !u.Keep {
-		t = &u.fresh
+		t = &u.singleUse
 	}
 	s := u.Clock.Now()
 	p, err = t.RoundTrip(q)
 	if err != nil {
 		y.seal()
-		return nil, c.wrote(), errors.Wrap(err, "upstream")
+		return nil, c.sealWritten(), errors.Wrap(err, "upstream")
 	}
-	ran, err = u.judge(p, r, b)
-	u.heard(b, s, p, err)
+	ran, err = u.checkAnswer(p, r, b)
+	u.reportAnswer(b, s, p, err)
 	if err != nil {
 		p.Body.Close()
 		return nil, ran, err
@@ -127,20 +130,22 @@
 	return p, true, nil
 }
 
-// heard tells the header of an answer that is proven to be from b.
-func (u *Upstream) heard(b backend.Backend, sent time.Time, p *http.Response, err error) {
+// reportAnswer passes the header of a response to Heard if the response is proven to
+// be from b.
+func (u *Upstream) reportAnswer(b backend.Backend, sent time.Time, p *http.Response, err error) {
 	if u.Heard != nil && (err == nil || errors.Is(err, ErrNotRun)) {
 		u.Heard(b, sent, p.Header, err == nil && p.StatusCode < http.StatusInternalServerError)
 	}
 }
 
-// Close ends all idle connections.
+// Close closes all idle connections.
 func (u *Upstream) Close() {
-	u.reused.CloseIdleConnections()
-	u.fresh.CloseIdleConnections()
+	u.keepAlive.CloseIdleConnections()
+	u.singleUse.CloseIdleConnections()
 }
 
-func (u *Upstream) request(ctx context.Context, r *request.Request, b backend.Backend, y *body) (*http.Request, error) {
+// newRequest returns the HTTP request that sends r to b with body y.
+func (u *Upstream) newRequest(ctx context.Context, r *request.Request, b backend.Backend, y *body) (*http.Request, error) {
 	q, err := http.NewRequestWithContext(ctx, r.Method, "http://"+b.Address+r.Target, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "upstream request")
@@ -163,21 +168,22 @@
 	return q, nil
 }
 
-func (u *Upstream) judge(p *http.Response, r *request.Request, b backend.Backend) (ran bool, err error) {
+// checkAnswer applies Verdict, or the rules of this package if it is nil.
+func (u *Upstream) checkAnswer(p *http.Response, r *request.Request, b backend.Backend) (ran bool, err error) {
 	if u.Verdict != nil {
 		return u.Verdict(p, r, b)
 	}
-	return u.check(p, r, b)
+	return u.checkEcho(p, r, b)
 }
 
-// check makes sure that an answer belongs to its request. A backend server
-// that has echoed ids before must go on doing so; one that never did is
-// trusted, since some cannot.
-func (u *Upstream) check(p *http.Response, r *request.Request, b backend.Backend) (ran bool, err error) {
+// checkEcho verifies that a response belongs to its request. A backend server that has
+// echoed ids before must continue to do so; one that never has is trusted, since some
+// cannot.
+func (u *Upstream) checkEcho(p *http.Response, r *request.Request, b backend.Backend) (ran bool, err error) {
 	v := p.Header.Get(IDHeader)
 	u.mu.Lock()
-	e := u.echoes[b.Address]
-	u.echoes[b.Address] = e || v == r.ID
+	e := u.echoesID[b.Address]
+	u.echoesID[b.Address] = e || v == r.ID
 	u.mu.Unlock()
 	switch {
 	case v != "" && v != r.ID, v == "" && e:
@@ -191,6 +197,7 @@
 	}
 }
 
+// dial opens a connection that records whether anything was written to it.
 func (u *Upstream) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if u.Dial != nil {
 		c, err := u.Dial(ctx, address)
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -19,9 +19,9 @@
 	"celeryreach.example/celeryreach/upstream"
 )
 
-// server answers the first request of each connection and closes the
-// connection after it has read the second one: the moment at which a restarted
-// backend server has run a request and its client cannot know.
+// server answers the given number of requests on each connection and closes the
+// connection after it has read the next one. This reproduces a backend server that
+// restarts after it has run a request: its client cannot know whether the request ran.
 type server struct {
 	listener net.Listener
 	runs     atomic.Int64
@@ -67,7 +67,7 @@
 	}
 }
 
-func post(body string) *request.Request {
+func newPost(body string) *request.Request {
 	r := &request.Request{
 		ID: "1", Method: http.MethodPost, Target: "/enrolments/1", NonIdempotent: true, Length: int64(len(body)),
 		Header: http.Header{"Idempotency-Key": {"deposit-1"}}, Deadline: time.Now().Add(time.Minute), //nolint:forbidigo // real sockets
@@ -78,12 +78,12 @@
 	return r
 }
 
-// A family is charged twice: the deposit's POST goes out on a kept connection,
-// the backend server runs it and dies before it answers, and net/http sends it
-// again by itself, since a POST with an Idempotency-Key and no body counts as
-// replayable. This is the test of the tests below: it shows that their server
-// brings the fault about in a plain Transport.
-func TestPlainTransportRepeats(t *testing.T) {
+// A POST is sent on a reused connection, and the backend server runs it and fails
+// before it responds. net/http sends the request again by itself, since it considers a
+// POST with an Idempotency-Key and no body replayable, and a family is charged twice.
+// This test verifies that the server of the following tests triggers the fault in a
+// plain http.Transport.
+func TestStandardTransportRepeats(t *testing.T) {
 	s := serve(t, 1)
 	c := new(http.Transport)
 	defer c.CloseIdleConnections()
@@ -100,15 +100,15 @@
 	must.Eq(t, 3, s.runs.Load(), must.Sprint("two requests, the second one sent twice"))
 }
 
-// The same server, with and without a body, after connections have been kept:
-// each deposit runs once, and the caller is told that the outcome is unknown.
+// A non-idempotent request, with or without a body, runs once on the same server even
+// if connections have been kept, and its outcome is reported as unknown.
 func TestNonIdempotentIsSentOnce(t *testing.T) {
 	for _, b := range []string{"", "child=1"} {
 		s := serve(t, 1)
 		u := upstream.New(clockwork.NewRealClock(), time.Second)
 		defer u.Close()
 		a := backend.Backend{Address: s.listener.Addr().String()}
-		g := post(b)
+		g := newPost(b)
 		g.Method = http.MethodGet
 		g.NonIdempotent = false
 		g.Body = nil
@@ -118,39 +118,39 @@
 		_, err = io.Copy(io.Discard, p.Body)
 		must.NoError(t, err)
 		p.Body.Close()
-		p, _, err = u.Send(t.Context(), post(b), a, false)
+		p, _, err = u.Send(t.Context(), newPost(b), a, false)
 		must.NoError(t, err)
 		p.Body.Close()
 		must.Eq(t, 2, s.runs.Load())
 
 		s = serve(t, 0)
 		a.Address = s.listener.Addr().String()
-		_, ran, err := u.Send(t.Context(), post(b), a, false) //nolint:bodyclose // there is no answer
+		_, ran, err := u.Send(t.Context(), newPost(b), a, false) //nolint:bodyclose // there is no answer
 		must.Error(t, err)
 		must.True(t, ran, must.Sprint("the request was read, so it may have run"))
 		must.Eq(t, 1, s.runs.Load())
 	}
 }
 
-// The backend server is gone: the connection is refused, so "not run" is true
-// and the deposit may be sent elsewhere.
+// The backend server is down and the connection is refused, so the request is proven
+// not to have run and may be sent to another backend server.
 func TestRefusedConnectionIsNotRun(t *testing.T) {
 	s := serve(t, 0)
 	s.listener.Close()
 	u := upstream.New(clockwork.NewRealClock(), time.Second)
-	_, ran, err := u.Send(t.Context(), post(""), backend.Backend{Address: s.listener.Addr().String()}, false) //nolint:bodyclose // there is no answer
+	_, ran, err := u.Send(t.Context(), newPost(""), backend.Backend{Address: s.listener.Addr().String()}, false) //nolint:bodyclose // there is no answer
 	must.Error(t, err)
 	must.False(t, ran)
 }
 
-// The caller leaves while the connection is being opened: nothing is written,
-// and nothing can be written later.
+// The caller goes away while the connection is being opened. Nothing is written, and
+// nothing can be written later.
 func TestCanceledDialIsNotRun(t *testing.T) {
 	s := serve(t, 1)
 	x, f := context.WithCancel(t.Context())
 	f()
 	u := upstream.New(clockwork.NewRealClock(), time.Second)
-	_, ran, err := u.Send(x, post("child=1"), backend.Backend{Address: s.listener.Addr().String()}, false) //nolint:bodyclose // there is no answer
+	_, ran, err := u.Send(x, newPost("child=1"), backend.Backend{Address: s.listener.Addr().String()}, false) //nolint:bodyclose // there is no answer
 	must.Error(t, err)
 	must.False(t, ran)
 	must.Eq(t, 0, s.runs.Load())
--- a/whole/whole.go
+++ b/whole/whole.go
@@ -1,5 +1,5 @@
-// Package whole passes answers on in a way that lets the caller tell a whole
-// answer from one that broke off.
+// Package whole copies responses to callers in such a way that a caller can
+// distinguish a complete response from a truncated one.
 package whole
 
 import (
@@ -14,46 +14,46 @@
 	"celeryreach.example/celeryreach/hop"
 )
 
-// pieceBytes is the memory that a long answer needs on its way through.
-const pieceBytes = 32 << 10
+// streamBufferBytes is the size of the buffer through which a long response is copied.
+const streamBufferBytes = 32 << 10
 
-// NotRunHeader is set by a backend server, with status 503, when it did not
-// run the request. Callers never see it: what they are told comes from the
+// NotRunHeader is set by a backend server, with status 503, when it did not run the
+// request. It is not passed on to callers, which receive this information from the
 // system itself.
 const NotRunHeader = "X-Not-Run"
 
 // Errors of Copy.
 var (
-	// ErrBackend is an answer that broke off before anything was passed on.
+	// ErrBackend is a response that was truncated before any part of it was passed on.
 	ErrBackend = errors.New("the answer broke off")
-	// ErrBroken is an answer that broke off after its head had been passed on.
+	// ErrBroken is a response that was truncated after its header was passed on.
 	ErrBroken = errors.New("the answer broke off after its head")
 	// ErrCaller is a caller that stopped reading.
 	ErrCaller = errors.New("the caller stopped reading")
 )
 
-// Whole passes answers on.
+// Whole copies responses to callers.
 type Whole struct {
 	// Clock sets write deadlines.
 	Clock clockwork.Clock
-	// Limit is how much of an answer is held back until it is complete.
+	// Limit is how many bytes of a response are buffered until it is complete.
 	Limit int
-	// Patience is how long a caller may take for one piece: a reader that has
-	// stopped must not hold a slot.
+	// Patience is how long a caller may take to read one buffer: a caller that has
+	// stopped reading must not occupy a slot.
 	Patience time.Duration
-	// Unframed lets answers pass that have neither length nor chunks and end
-	// with their connection. It is for backend servers that reset connections
-	// which break off, so that an end is told from a break.
+	// Unframed allows responses that have neither a length nor chunked encoding and
+	// end when their connection is closed. It is for backend servers that reset the
+	// connection of a truncated response, so that a regular end can be recognized.
 	Unframed bool
 }
 
-// Copy writes the answer p to w. It calls free, once, when the backend server
-// has sent all it will send; for held answers that is before the caller reads.
+// Copy writes response p to w. It calls free once, when the backend server will send
+// no more of p; for buffered responses that is before the caller reads.
 func (o *Whole) Copy(w http.ResponseWriter, p *http.Response, free func(error)) error {
 	defer p.Body.Close()
 	if !o.Unframed && !delimited(p) {
 		free(ErrBackend)
-		return errors.Wrap(ErrBackend, "it has neither length nor chunks, so its end cannot be told from a break")
+		return errors.Wrap(ErrBackend, "the answer has neither Content-Length nor chunked encoding, so truncation cannot be detected")
 	}
 	b, err := io.ReadAll(io.LimitReader(p.Body, int64(o.Limit)+1))
 	if err != nil {
@@ -63,7 +63,7 @@
 	if len(b) <= o.Limit {
 		free(nil)
 		if p.Request != nil && p.Request.Method == http.MethodHead {
-			head(w, p.StatusCode, p.Header, p.ContentLength)
+			writeHeader(w, p.StatusCode, p.Header, p.ContentLength)
 			return nil
 		}
 		Write(w, p.StatusCode, p.Header, b)
@@ -74,23 +74,25 @@
 	return err
 }
 
-// Write writes a whole answer from memory.
+// Write writes a complete response from memory.
 func Write(w http.ResponseWriter, status int, h http.Header, b []byte) {
 	n := int64(len(b))
 	if status == http.StatusNoContent || status == http.StatusNotModified {
 		n = -1
 	}
-	head(w, status, h, n)
-	// A failed write means that the caller left; there is nobody to tell.
+	writeHeader(w, status, h, n)
+	// A failed write means that the caller has gone away, so there is nobody to
+	// inform.
 	_, _ = w.Write(b)
 }
 
+// stream writes the first part b of response p, then copies the rest buffer by buffer.
 func (o *Whole) stream(w http.ResponseWriter, p *http.Response, b []byte) error {
 	c := http.NewResponseController(w)
-	head(w, p.StatusCode, p.Header, p.ContentLength)
-	r := make([]byte, pieceBytes)
+	writeHeader(w, p.StatusCode, p.Header, p.ContentLength)
+	r := make([]byte, streamBufferBytes)
 	for {
-		// Not every writer has deadlines; frames between hosts have none.
+		// Not every writer supports deadlines; streams between hosts do not.
 		_ = c.SetWriteDeadline(o.Clock.Now().Add(o.Patience))
 		if _, err := w.Write(b); err != nil {
 			return errors.Wrap(ErrCaller, err.Error())
@@ -110,8 +112,8 @@
 	}
 }
 
-// delimited reports whether the end of an answer can be told from a break. A
-// body that ends with its connection looks whole when the backend server dies.
+// delimited reports whether a truncated response can be detected. A body that ends
+// when its connection is closed appears complete if the backend server fails.
 func delimited(p *http.Response) bool {
 	if p.ContentLength >= 0 || p.Uncompressed {
 		return true
@@ -119,7 +121,9 @@
 	return len(p.TransferEncoding) > 0 && p.TransferEncoding[0] == "chunked"
 }
 
-func head(w http.ResponseWriter, status int, h http.Header, n int64) {
+// writeHeader writes status and header without hop-by-hop fields; n is the length of
+// the body, -1 if it is not known.
+func writeHeader(w http.ResponseWriter, status int, h http.Header, n int64) {
 	c := h.Clone()
 	hop.Strip(c)
 	c.Del("Content-Length")
