--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,35 +1,35 @@
-// Package backend describes the backend servers that operators list.
+// Package backend describes the backend servers in the configuration.
 package backend
 
 import "time"
 
-// Backend is one backend server. Only hosts of its failure domain reach it.
+// Backend is one backend server. Only hosts in its failure domain connect to it.
 type Backend struct {
 	// Name identifies the backend server in the configuration.
 	Name string
-	// Domain is the failure domain it stands in.
+	// Domain is the name of its failure domain.
 	Domain string
-	// Service is the service whose requests it answers.
+	// Service is the name of the service whose requests it handles.
 	Service string
-	// Address is its TCP address, IP and port.
+	// Address is its TCP address, as IP:port.
 	Address string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// Connections is how many open connections it accepts.
+	// Connections is the number of open connections that it accepts.
 	Connections int
-	// WarmUp is how long a new backend server takes to reach full speed.
+	// WarmUp is how long it takes after its start to reach full speed.
 	WarmUp time.Duration `json:",omitzero"`
-	// Health is the path of its health endpoint; empty when it has none.
+	// Health is the path of its health endpoint; empty if it has none.
 	Health string `json:",omitzero"`
-	// Draining is set by operators: no new work.
+	// Draining is set by operators to stop sending it new requests.
 	Draining bool `json:",omitzero"`
-	// Region is the region of its failure domain.
+	// Region is the name of the region of its failure domain.
 	Region string `json:",omitzero"`
-	// ColdFor is how long it stays cold from when this was written.
+	// ColdFor is how long it remains cold, counted from when the entry was written.
 	ColdFor time.Duration `json:",omitzero"`
-	// Started is when its process started, in milliseconds since 1970. A
-	// backend server that starts again under its name has forgotten all.
+	// Started is when its process started, in milliseconds since the Unix epoch. A
+	// backend server that restarts under the same name has lost all state.
 	Started int64 `json:",omitzero"`
-	// Revision is the version of the store at which this was written.
+	// Revision is the version of the store at which the entry was written.
 	Revision uint64 `json:",omitzero"`
 }
--- a/coldpace/coldpace.go
+++ b/coldpace/coldpace.go
@@ -1,5 +1,5 @@
-// Package coldpace divides the rate that a cold backend server bears between
-// the hosts that may reach it.
+// Package coldpace divides the request rate that a cold backend server can handle between
+// the hosts that may send to it.
 package coldpace
 
 import (
@@ -10,47 +10,48 @@
 )
 
 const (
-	// window is a little longer than the second over which a backend server
-	// counts, since requests of one host take different times to arrive.
-	window = 1100 * time.Millisecond
-	// safety is the part of the bound that is divided: hosts disagree for a
-	// moment on how many they are.
-	safety = 0.85
+	// rateWindow is slightly longer than the second over which a backend server counts
+	// requests, since requests of one host arrive with different delays.
+	rateWindow = 1100 * time.Millisecond
+	// safetyFactor is the fraction of the bound that is divided between the hosts, which may
+	// disagree on their number for a moment.
+	safetyFactor = 0.85
 )
 
-// Coldpace tells how many requests a second this host may send to a cold
-// backend server. A host that comes back cold under full load crashes again, and
-// nobody can count all hosts' requests in time: the parts are fixed instead.
+// Coldpace computes how many requests per second this host may send to a cold backend
+// server. A backend server that restarts cold crashes again under full load. No host can
+// count the requests of all hosts in time, so each has a fixed part of the rate.
 type Coldpace struct {
 	// Self is the name of this host.
 	Self string
-	// Hosts returns the names of all hosts that may send, this one included.
+	// Hosts returns the names of all hosts that may send requests, this one included.
 	Hosts func() []string
-	// Overage and Slack make the bound of a rate: rate x Overage + Slack
-	// requests in any second.
+	// Overage and Slack define the bound for a rate: rate x Overage + Slack requests
+	// in any second.
 	Overage, Slack float64
 }
 
-// Part returns how many requests this host may send in any second to a cold
-// backend server that bears rate requests per second.
+// Part returns how many requests this host may send in any second to a cold backend
+// server that can handle rate requests per second.
 func (c *Coldpace) Part(backend string, rate float64) int {
-	t := int((rate*c.Overage + c.Slack) * safety)
+	t := int((rate*c.Overage + c.Slack) * safetyFactor)
 	h := c.Hosts()
 	if len(h) == 0 {
 		return 0
 	}
 	n := t / len(h)
-	// The order of hosts is another for each backend server.
+	// The remainder goes to the first hosts in an order that differs for each backend
+	// server.
 	if rendezvous.Rank(backend, c.Self, h) < t%len(h) {
 		n++
 	}
 	return n
 }
 
-// Allow reports whether one more request fits behind those sent at times. It
-// returns the times that still count.
+// Allow reports whether one more request may be sent after those sent at the given times,
+// at most part within a second. It returns the times that still count.
 func Allow(sent []time.Time, part int, now time.Time) ([]time.Time, bool) {
-	i := sort.Search(len(sent), func(i int) bool { return now.Sub(sent[i]) < window })
+	i := sort.Search(len(sent), func(i int) bool { return now.Sub(sent[i]) < rateWindow })
 	sent = sent[i:]
 	return sent, len(sent) < part
 }
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery keeps the list of backend servers that may be used.
+// Package discovery maintains the list of backend servers that take new requests.
 package discovery
 
 import (
@@ -14,86 +14,88 @@
 )
 
 const (
-	// coldMargin is put on what a backend server says of how long it stays
-	// cold: its word was some time under way.
+	// coldMargin is added to the remaining cold time that a backend server reports,
+	// to allow for the delay of the report.
 	coldMargin = 300 * time.Millisecond
-	// sweepEvery is how often entries are looked over that wait for a time.
-	sweepEvery = 200 * time.Millisecond
+	// sweepInterval is how often missing entries are checked for expiry.
+	sweepInterval = 200 * time.Millisecond
 )
 
-// Discovery merges what the store lists with what happened to the store.
+// Discovery derives the usable backend servers from the list in the store, outages of the
+// store and evacuations of failure domains.
 type Discovery struct {
-	// Clock measures holds.
+	// Clock measures how long missing entries are kept and backend servers are cold.
 	Clock clockwork.Clock
-	// Log receives one line for each backend server that comes, leaves or
-	// turns cold.
+	// Log receives one line for each backend server that appears, leaves or becomes
+	// cold, and for each evacuation of a failure domain.
 	Log *log.Logger
 	// WarmUp returns how long a backend server of a service may be cold.
 	WarmUp func(service string) time.Duration
-	// Changed is told which backend servers take new requests, and until when
-	// one of them is cold.
+	// Changed is called with the backend servers that take new requests, and a
+	// function that returns the time until which one of them is cold.
 	Changed func(l []backend.Backend, cold func(name string) time.Time)
 
-	mu        sync.Mutex
-	known     map[string]*known
-	evacuated map[string]bool
-	events    []event // since Changed was last called
+	mu          sync.Mutex
+	entries     map[string]*entry
+	evacuated   map[string]bool
+	pendingLogs []logEntry // queued since Changed was last called
 }
 
-// event is a line of the log that is written once what it tells is in force.
-type event struct {
+// logEntry is a log line that is written after the change that it describes was passed to
+// Changed.
+type logEntry struct {
 	level   log.Level
 	message string
 	fields  []any
 }
 
-type known struct {
-	backend backend.Backend
-	cold    time.Time
-	lapsed  time.Time // until when a missing entry holds, zero while it is listed
+type entry struct {
+	backend   backend.Backend
+	coldUntil time.Time
+	keptUntil time.Time // when a missing entry expires; zero while it is listed
 }
 
-// Run drops lapsed entries in time, until ctx ends.
+// Run drops expired entries until ctx ends.
 func (d *Discovery) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-d.Clock.After(sweepEvery):
+		case <-d.Clock.After(sweepInterval):
 			d.Sweep()
 		}
 	}
 	return nil
 }
 
-// Backends takes the list as the store has it. In an outage of the store, entries
-// of sound backend servers lapse: those that are missing stay in use until doubt
-// ends. Those that are missing without doubt are gone, also while this host
-// itself cannot reach the store and another one told it.
-func (d *Discovery) Backends(l []backend.Backend, doubt time.Time) {
+// Backends sets the list of backend servers in the store. During an outage of the store,
+// entries of healthy backend servers expire, so entries that are missing stay in use until
+// uncertainUntil. If that time has passed, missing entries are dropped at once, also when
+// the list comes from another host because this one can't reach the store.
+func (d *Discovery) Backends(l []backend.Backend, uncertainUntil time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.known == nil {
-		d.known = make(map[string]*known)
+	if d.entries == nil {
+		d.entries = make(map[string]*entry)
 	}
 	s := make(map[string]bool, len(l))
 	for _, b := range l {
 		s[b.Name] = true
 		d.put(b)
 	}
-	for n, k := range d.known {
+	for n, k := range d.entries {
 		switch {
 		case s[n]:
-		case !doubt.After(d.Clock.Now()):
+		case !uncertainUntil.After(d.Clock.Now()):
 			d.drop(n, k)
-		case k.lapsed.IsZero():
-			d.note(log.WarnLevel, "backend server is missing after an outage of the store", "Backend", n)
-			k.lapsed = doubt
+		case k.keptUntil.IsZero():
+			d.queueLog(log.WarnLevel, "backend server is missing after an outage of the store", "Backend", n)
+			k.keptUntil = uncertainUntil
 		}
 	}
-	d.tell()
+	d.publish()
 }
 
-// Evacuated takes the failure domains that get no new requests.
+// Evacuated sets the failure domains whose backend servers get no new requests.
 func (d *Discovery) Evacuated(z map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -102,78 +104,79 @@
 		if z[v] {
 			continue
 		}
-		d.note(log.InfoLevel, "failure domain is back", "Domain", v)
-		// Its backend servers had nothing to do and may be cold, before any
-		// of them can have said so.
-		for _, k := range d.known {
+		d.queueLog(log.InfoLevel, "failure domain is back", "Domain", v)
+		// Its backend servers were idle and may be cold although none has been able
+		// to report it yet.
+		for _, k := range d.entries {
 			if k.backend.Domain == v {
-				k.cold = deadline.Later(k.cold, n.Add(d.WarmUp(k.backend.Service)+coldMargin))
+				k.coldUntil = deadline.Later(k.coldUntil, n.Add(d.WarmUp(k.backend.Service)+coldMargin))
 			}
 		}
 	}
 	for v := range z {
 		if !d.evacuated[v] {
-			d.note(log.InfoLevel, "failure domain is evacuated", "Domain", v)
+			d.queueLog(log.InfoLevel, "failure domain is evacuated", "Domain", v)
 		}
 	}
 	d.evacuated = z
-	d.tell()
+	d.publish()
 }
 
 func (d *Discovery) put(b backend.Backend) {
-	k := d.known[b.Name]
+	k := d.entries[b.Name]
 	n := d.Clock.Now()
 	if k == nil {
-		d.note(log.InfoLevel, "backend server appeared", "Backend", b.Name, "Service", b.Service, "Domain", b.Domain, "ColdFor", b.ColdFor)
-		k = &known{}
-		d.known[b.Name] = k
+		d.queueLog(log.InfoLevel, "backend server appeared", "Backend", b.Name, "Service", b.Service, "Domain", b.Domain, "ColdFor", b.ColdFor)
+		k = &entry{}
+		d.entries[b.Name] = k
 	}
 	if k.backend.Revision != b.Revision && b.ColdFor > 0 {
-		d.note(log.InfoLevel, "backend server is cold", "Backend", b.Name, "For", b.ColdFor)
-		k.cold = deadline.Later(k.cold, n.Add(b.ColdFor+coldMargin))
+		d.queueLog(log.InfoLevel, "backend server is cold", "Backend", b.Name, "For", b.ColdFor)
+		k.coldUntil = deadline.Later(k.coldUntil, n.Add(b.ColdFor+coldMargin))
 	}
 	if b.Draining && !k.backend.Draining {
-		d.note(log.InfoLevel, "backend server leaves", "Backend", b.Name, "Service", b.Service)
+		d.queueLog(log.InfoLevel, "backend server leaves", "Backend", b.Name, "Service", b.Service)
 	}
 	k.backend = b
-	k.lapsed = time.Time{}
+	k.keptUntil = time.Time{}
 }
 
-func (d *Discovery) drop(name string, k *known) {
-	d.note(log.InfoLevel, "backend server is gone", "Backend", name, "Service", k.backend.Service)
-	delete(d.known, name)
+func (d *Discovery) drop(name string, k *entry) {
+	d.queueLog(log.InfoLevel, "backend server is gone", "Backend", name, "Service", k.backend.Service)
+	delete(d.entries, name)
 }
 
-// Sweep drops entries that lapsed in an outage and are not back in time.
+// Sweep drops entries that went missing during an outage of the store and weren't
+// listed again in time.
 func (d *Discovery) Sweep() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c := false
-	for n, k := range d.known {
-		if !k.lapsed.IsZero() && !k.lapsed.After(d.Clock.Now()) {
+	for n, k := range d.entries {
+		if !k.keptUntil.IsZero() && !k.keptUntil.After(d.Clock.Now()) {
 			d.drop(n, k)
 			c = true
 		}
 	}
 	if c {
-		d.tell()
+		d.publish()
 	}
 }
 
-func (d *Discovery) tell() {
+func (d *Discovery) publish() {
 	var l []backend.Backend
-	for _, k := range d.known {
+	for _, k := range d.entries {
 		if !k.backend.Draining && !d.evacuated[k.backend.Domain] {
 			l = append(l, k.backend)
 		}
 	}
-	d.Changed(l, func(n string) time.Time { return d.known[n].cold })
-	for _, e := range d.events {
+	d.Changed(l, func(n string) time.Time { return d.entries[n].coldUntil })
+	for _, e := range d.pendingLogs {
 		d.Log.Log(e.level, e.message, e.fields...)
 	}
-	d.events = nil
+	d.pendingLogs = nil
 }
 
-func (d *Discovery) note(l log.Level, message string, fields ...any) {
-	d.events = append(d.events, event{level: l, message: message, fields: fields})
+func (d *Discovery) queueLog(l log.Level, message string, fields ...any) {
+	d.pendingLogs = append(d.pendingLogs, logEntry{level: l, message: message, fields: fields})
 }
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -1,4 +1,4 @@
-// Package freshness measures for how long hosts together have heard nothing of
+// Package freshness measures the time since a group of hosts last had contact with
 // something that they depend on.
 package freshness
 
@@ -11,55 +11,55 @@
 	"celeryreach.example/celeryreach/staleness"
 )
 
-// Freshness remembers the last sign of life: of what is outside the failure
-// domain, for keys that may have been withdrawn there, or of the store, for calls
-// to it that wait.
+// Freshness records the last contact: with anything outside the failure domain, to bound
+// the use of keys that may have been withdrawn there, or with the store, to supervise
+// pending calls to it.
 type Freshness struct {
 	// Clock is the host's monotonic clock.
 	Clock clockwork.Clock
 
-	mu    sync.Mutex
-	heard time.Time
-	seen  time.Time // of heard, what reached this host itself
+	mu          sync.Mutex
+	lastContact time.Time
+	lastDirect  time.Time // the last contact of this host itself
 }
 
-// Seen notes a sign of life that reached this host.
+// Seen records a contact of this host itself.
 func (f *Freshness) Seen() {
 	n := f.Clock.Now()
 	f.mu.Lock()
-	f.seen = n
+	f.lastDirect = n
 	f.mu.Unlock()
-	f.note(n)
+	f.update(n)
 }
 
-// Heard takes over what another host has seen itself. The age was measured when the
-// message left, so the time it was under way makes the estimate younger than it is by
-// one delivery. An age that was heard must not be passed on: it would lose a delivery
-// at each host, and in circles never grow old.
+// Heard records the age of another host's own last contact. The age was measured when the
+// message was sent, so the recorded contact is too recent by one delivery time. A host
+// must not pass on an age that it received: it would lose a delivery time at each hop and
+// never grow old when passed around in a circle.
 func (f *Freshness) Heard(age int64) {
 	if age > 0 {
-		f.note(f.Clock.Now().Add(-time.Duration(age)))
+		f.update(f.Clock.Now().Add(-time.Duration(age)))
 	}
 }
 
-// Age returns the time since the last sign of life plus one nanosecond, zero
-// when there was none.
+// Age returns the time in nanoseconds since the last contact, plus one; zero if there was
+// none.
 func (f *Freshness) Age() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.since(f.heard)
+	return f.ageOf(f.lastContact)
 }
 
-// Own returns the age of what reached this host itself, in the form of Age. It is
-// what heartbeats carry.
+// Own returns the time since the last contact of this host itself, in the form of Age.
+// This is the age to send to other hosts.
 func (f *Freshness) Own() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.since(f.seen)
+	return f.ageOf(f.lastDirect)
 }
 
-// Left returns for how much longer the last sign of life is younger than limit,
-// zero if it is older or if there was none.
+// Left returns the time until the last contact is older than limit; zero if it already is
+// or if there was none.
 func (f *Freshness) Left(limit time.Duration) time.Duration {
 	a := f.Age()
 	if a == 0 {
@@ -68,8 +68,8 @@
 	return max(limit-time.Duration(a), 0)
 }
 
-// Stale reports whether keys may no longer be trusted. A host that never heard
-// anything from outside cannot know how old its configuration is.
+// Stale reports whether keys may no longer be accepted. A host that has had no contact
+// with the outside can't know the age of its configuration, so its keys count as stale.
 func (f *Freshness) Stale(s staleness.Staleness, nonIdempotent bool) bool {
 	l := s.Idempotent
 	if nonIdempotent {
@@ -79,17 +79,17 @@
 	return a == 0 || time.Duration(a) > l
 }
 
-func (f *Freshness) since(t time.Time) int64 {
+func (f *Freshness) ageOf(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return int64(f.Clock.Since(t)) + 1
 }
 
-func (f *Freshness) note(t time.Time) {
+func (f *Freshness) update(t time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if t.After(f.heard) {
-		f.heard = t
+	if t.After(f.lastContact) {
+		f.lastContact = t
 	}
 }
--- a/health/health.go
+++ b/health/health.go
@@ -3,13 +3,13 @@
 
 import "celeryreach.example/celeryreach/loadreport"
 
-// Health is what one probe saw. It may be wrong either way, since health
-// endpoints lag and mislead.
+// Health is the result of one probe. It may be wrong in both directions, since health
+// endpoints can lag behind or report a false state.
 type Health struct {
-	// Reached tells whether a connection could be opened.
+	// Reached is set if a connection could be opened.
 	Reached bool
-	// Healthy tells whether the health endpoint said so.
+	// Healthy is set if the health endpoint reported a healthy state.
 	Healthy bool
-	// Report is what the endpoint's answer said besides.
+	// Report is the load report in the header of the endpoint's answer.
 	Report loadreport.Loadreport
 }
--- a/healthcheck/healthcheck.go
+++ b/healthcheck/healthcheck.go
@@ -1,4 +1,4 @@
-// Package healthcheck asks backend servers for their health.
+// Package healthcheck probes the health of backend servers.
 package healthcheck
 
 import (
@@ -14,29 +14,29 @@
 	"celeryreach.example/celeryreach/loadreport"
 )
 
-// concurrent bounds the probes under way. A probe costs a backend server about
-// 6 ms, and silent ones must not hold up the others.
-const concurrent = 8
+// maxConcurrent bounds the number of concurrent probes. A probe costs a backend server
+// about 6 ms, and backend servers that don't respond must not delay the probes of others.
+const maxConcurrent = 8
 
-// Healthcheck asks at regular intervals, each time on a new connection: an old one
-// may have gone silent while the backend server is well.
+// Healthcheck probes backend servers at regular intervals, each time on a new connection:
+// an existing connection may be dead although the backend server is healthy.
 type Healthcheck struct {
 	// Clock paces the probes.
 	Clock clockwork.Clock
-	// Interval is the time between two probes of a backend server.
+	// Interval is the pause between two rounds of probes.
 	Interval time.Duration
-	// Timeout bounds a probe.
+	// Timeout bounds the duration of a probe.
 	Timeout time.Duration
-	// Backends returns those to probe now.
+	// Backends returns the backend servers to probe in the next round.
 	Backends func() []backend.Backend
-	// Report is told what a probe saw.
+	// Report is called with the result of each probe.
 	Report func(b backend.Backend, h health.Health)
 }
 
-// Run probes until ctx ends.
+// Run probes the backend servers until ctx ends.
 func (p *Healthcheck) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		p.round(ctx)
+		p.probeAll(ctx)
 		select {
 		case <-ctx.Done():
 		case <-p.Clock.After(p.Interval):
@@ -45,10 +45,10 @@
 	return nil
 }
 
-func (p *Healthcheck) round(ctx context.Context) {
+func (p *Healthcheck) probeAll(ctx context.Context) {
 	b := p.Backends()
 	d := make(chan struct{}, len(b))
-	s := make(chan struct{}, concurrent)
+	s := make(chan struct{}, maxConcurrent)
 	for _, v := range b {
 		s <- struct{}{}
 		go p.probe(ctx, v, func() {
@@ -71,7 +71,8 @@
 	}
 }
 
-// Check probes once. Without a health path an open connection is all it asks.
+// Check probes a backend server once. If it has no health path, an open connection counts
+// as healthy.
 func Check(ctx context.Context, b backend.Backend) health.Health {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", b.Address)
--- a/latency/latency.go
+++ b/latency/latency.go
@@ -1,4 +1,4 @@
-// Package latency publishes how long requests took, by route.
+// Package latency publishes the latency of requests by route.
 package latency
 
 import (
@@ -11,31 +11,32 @@
 )
 
 const (
-	// longest is the time that is told apart; what took longer counts as that.
-	longest   = time.Minute
-	precision = 2
-	// maxRoutes bounds the histograms of a process: 16 KB each. Routes beyond
-	// them are counted together.
-	maxRoutes = 64
-	other     = "other"
+	// maxLatency is the highest latency that is recorded; higher ones count as this.
+	maxLatency        = time.Minute
+	significantDigits = 2
+	// maxRoutes bounds the number of histograms, which take 16 KB each. Further routes
+	// share the histogram of otherRoutes.
+	maxRoutes   = 64
+	otherRoutes = "other"
 )
 
-// Latency has one histogram for each route, in microseconds.
+// Latency holds one histogram for each route, in microseconds.
 type Latency struct {
-	// Name is the name under which expvar shows it.
+	// Name is the expvar name.
 	Name string
 
 	mu     sync.Mutex
 	routes map[string]*hdrhistogram.Histogram
 }
 
-// summary is what expvar shows of a route; times are in milliseconds.
+// summary is the value of a route in expvar; times are in milliseconds.
 type summary struct {
 	Count                int64
 	P50, P90, P99, Worst float64
 }
 
-// Publish makes expvar show it, in the place of one of the same name before.
+// Publish publishes the summaries in expvar. It replaces a Latency published earlier
+// under the same name.
 func (l *Latency) Publish() {
 	metric.Metric{Name: l.Name}.Follow(l.summaries)
 }
@@ -46,18 +47,18 @@
 	defer l.mu.Unlock()
 	h := l.routes[route]
 	if h == nil && len(l.routes) >= maxRoutes {
-		route = other
+		route = otherRoutes
 		h = l.routes[route]
 	}
 	if h == nil {
-		h = hdrhistogram.New(1, longest.Microseconds(), precision)
+		h = hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
 		if l.routes == nil {
 			l.routes = make(map[string]*hdrhistogram.Histogram)
 		}
 		l.routes[route] = h
 	}
-	if h.RecordValue(min(d, longest).Microseconds()) != nil {
-		return // no duration below zero is ever observed
+	if h.RecordValue(min(d, maxLatency).Microseconds()) != nil {
+		return // only negative values are rejected, and durations are never negative
 	}
 }
 
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -1,83 +1,84 @@
-// Package outlier takes backend servers that fail out of use for a while, by the
-// outcomes of their requests. It never takes out more than a bounded part of
-// them: when most fail, the cause is elsewhere, and the rest could not carry
-// the load.
+// Package outlier ejects backend servers temporarily when their requests fail. The
+// fraction that is ejected at a time is bounded: when most fail, the cause is
+// elsewhere, and the rest couldn't carry the load.
 package outlier
 
 import "time"
 
 const (
-	// smoothing is the part of a new outcome in the running failure ratio.
-	smoothing = 0.1
-	// tolerance is the failure ratio from which on a backend server is ejected.
-	tolerance = 0.5
-	// maxDoublings bounds the time of repeated ejections to 16 times the first.
+	// ratioSmoothing is the weight of a new outcome in the moving average of the failure ratio.
+	ratioSmoothing = 0.1
+	// maxFailureRatio is the failure ratio at which a backend server is ejected.
+	maxFailureRatio = 0.5
+	// maxDoublings bounds the duration of repeated ejections to 16 times the first.
 	maxDoublings = 4
 )
 
-// Outlier judges the backend servers of one service. It is not safe for use by
-// several goroutines: its owner's lock guards it.
+// Outlier tracks failures of the backend servers of one service. It isn't safe for
+// concurrent use; the caller's lock guards it.
 type Outlier struct {
-	// Consecutive is the number of failures in a row that eject.
+	// Consecutive is the number of failures in a row after which a backend server is
+	// ejected.
 	Consecutive int
-	// For is the time of a first ejection; it doubles with each that follows
-	// before the backend server has proven itself.
+	// For is the duration of a first ejection. It doubles with each further ejection
+	// until the failure ratio has fallen to a tenth of maxFailureRatio.
 	For time.Duration
-	// Fraction is the greatest part of the backend servers that is ejected.
+	// Fraction is the greatest fraction of the backend servers that is ejected at a
+	// time.
 	Fraction float64
 
 	servers map[string]*server
 }
 
 type server struct {
-	consecutive int
-	ratio       float64
-	ejections   int
-	until       time.Time
+	consecutiveFailures int
+	failureRatio        float64
+	ejections           int
+	ejectedUntil        time.Time
 }
 
-// Succeed records a request that went well.
+// Succeed records a successful request.
 func (o *Outlier) Succeed(name string) {
 	s := o.server(name)
-	s.consecutive = 0
-	s.ratio -= smoothing * s.ratio
-	if s.ratio < tolerance/10 {
+	s.consecutiveFailures = 0
+	s.failureRatio -= ratioSmoothing * s.failureRatio
+	if s.failureRatio < maxFailureRatio/10 {
 		s.ejections = 0
 	}
 }
 
-// Fail records a failed request. If that ejected the backend server, one of
-// names, it returns until when.
+// Fail records a failed request of a backend server. If that ejects the backend server,
+// Fail returns the end of the ejection. names lists all backend servers of the service.
 func (o *Outlier) Fail(name string, names []string, now time.Time) (until time.Time, ejected bool) {
 	s := o.server(name)
-	s.consecutive++
-	s.ratio += smoothing * (1 - s.ratio)
-	if s.until.After(now) || s.consecutive < o.Consecutive && s.ratio < tolerance {
+	s.consecutiveFailures++
+	s.failureRatio += ratioSmoothing * (1 - s.failureRatio)
+	if s.ejectedUntil.After(now) || s.consecutiveFailures < o.Consecutive && s.failureRatio < maxFailureRatio {
 		return time.Time{}, false
 	}
-	if float64(o.ejected(names, now)+1) > o.Fraction*float64(len(names)) {
+	if float64(o.countEjected(names, now)+1) > o.Fraction*float64(len(names)) {
 		return time.Time{}, false
 	}
-	s.until = now.Add(o.For << min(s.ejections, maxDoublings))
+	s.ejectedUntil = now.Add(o.For << min(s.ejections, maxDoublings))
 	s.ejections++
-	// It has to fail anew to be ejected anew, but not as often.
-	s.consecutive = o.Consecutive / 2
-	s.ratio = 0
-	return s.until, true
+	// After the ejection, fewer failures in a row are enough to eject it again.
+	s.consecutiveFailures = o.Consecutive / 2
+	s.failureRatio = 0
+	return s.ejectedUntil, true
 }
 
-// Ejected reports whether a backend server is out of use.
+// Ejected reports whether a backend server is ejected at the moment.
 func (o *Outlier) Ejected(name string, now time.Time) bool {
 	s := o.servers[name]
-	return s != nil && s.until.After(now)
+	return s != nil && s.ejectedUntil.After(now)
 }
 
-// Forget drops what is known of a backend server.
+// Forget deletes the state of a backend server.
 func (o *Outlier) Forget(name string) {
 	delete(o.servers, name)
 }
 
-func (o *Outlier) ejected(names []string, now time.Time) int {
+func (o *Outlier) countEjected(names []string, now time.Time) int {
 	n := 0
 	for _, v := range names {
 		if o.Ejected(v, now) {
--- a/placement/choice.go
+++ b/placement/choice.go
@@ -7,120 +7,120 @@
 )
 
 const (
-	// defaultSpread is two: one more than the object needs, for when the first
-	// has no room. With three, more backend servers learn each object in trouble,
-	// and lines of slow work form everywhere.
+	// defaultSpread is the number of backend servers that may serve an object: one
+	// preferred and one for when that is full. With three, more backend servers
+	// have to cache each object under overload, and all queues fill with slow work.
 	defaultSpread = 2
-	// unknown is the work on an object that is new to a backend server, in units
-	// of the work on one that it knows.
-	unknown = 3.2
-	// calm is the part of its slots below which a backend server takes an object
-	// back, or a new one its first objects, though another one knows them. One slow
-	// request then keeps nobody waiting. Otherwise objects would stay for ever
-	// where a trouble sent them, and a backend server that joins would get none.
-	calm = 0.2
+	// uncachedWork is the duration of a request for an object that the backend
+	// server has not cached, relative to one for a cached object.
+	uncachedWork = 3.2
+	// lowLoad is the fraction of its slots below which the preferred backend server
+	// of an object is chosen although only another one has the object cached. At
+	// that load a slow request delays no other. Without this rule, objects would
+	// never return after a failure, and a new backend server would receive none.
+	lowLoad = 0.2
 )
 
-// choose returns the candidate at which r will be done first, among the few that
-// its object may be at. A backend server without a free slot counts as far as the
-// request's rank lets it wait there. Lines form when some of the backend servers
-// are away. Waiting for the one that knows the object is then often better than a
-// free slot at one that does not, which would take three times as long and keep
-// others waiting.
+// choose returns the candidate with the earliest estimated completion of r, or nil
+// if none can take it. A backend server without a free slot is considered if the
+// priority of r permits it to queue there. When some backend servers are down and
+// queues form, waiting for one that has the object cached is often better than a
+// free slot at another, which would take three times as long and delay other
+// requests.
 func (p *Placement) choose(c []candidate, r *request.Request, now time.Time) *server {
 	var m *server
 	var b float64
-	u := !anyKnows(c, r)
+	u := !anyCached(c, r)
 	for _, v := range c {
 		s := v.server
-		if s.full.After(now) || p.overdue(s, now) || !p.admits(s, r, now) {
+		if s.fullUntil.After(now) || p.hasOverdue(s, now) || !p.admits(s, r, now) {
 			continue
 		}
-		if s.load(now) < p.calm(v.place, u)*float64(s.backend.Slots) {
+		if s.load(now) < p.loadThreshold(v.position, u)*float64(s.backend.Slots) {
 			return s
 		}
-		if t := s.takes(r, now); m == nil || t < b {
+		if t := s.completion(r, now); m == nil || t < b {
 			m, b = s, t
 		}
 	}
 	return m
 }
 
-// places returns the few candidates that a request may go to now.
-func (p *Placement) places(c []candidate) []candidate {
+// available returns the preferred candidates that can be sent a request now.
+func (p *Placement) available(c []candidate) []candidate {
 	var l []candidate
-	for _, v := range p.reachable(c) {
-		if !v.resting {
+	for _, v := range p.preferred(c) {
+		if !v.unavailable {
 			l = append(l, v)
 		}
 	}
 	return l
 }
 
-// reachable returns the candidates that a request may go to, or could if they got something
-// now. One that gets nothing for a moment keeps its place meanwhile: backend servers that
-// come back cold get a request now and then, and if others took their places in between,
-// objects would become known, by a late answer each, at a third and a fourth one, and never
-// go back. Only when all places of an object rest, the next takes it; and not that when
-// permits are short, since they are short everywhere.
-func (p *Placement) reachable(c []candidate) []candidate {
+// preferred returns the first candidates of c, as many as the spread permits, including
+// those that are unavailable at the moment. An unavailable candidate isn't replaced by the
+// next one: a backend server that restarted cold is sent requests at a low rate, and if
+// others stood in between these, the object would be cached at a third and a fourth backend
+// server, each time with a late answer, and never return. More candidates follow only if
+// all these are unavailable for other reasons than a missing permit, since permits are
+// scarce for all backend servers at the same time.
+func (p *Placement) preferred(c []candidate) []candidate {
 	s := false
 	for i, v := range c {
 		if i >= p.spread() && s {
 			return c[:i]
 		}
-		s = s || !v.resting || v.denied
+		s = s || !v.unavailable || v.denied
 	}
 	return c
 }
 
-// anyKnows reports whether one of the candidates is known to have worked on the
-// object of r.
-func anyKnows(c []candidate, r *request.Request) bool {
+// anyCached reports whether one of the candidates has the object of r cached.
+func anyCached(c []candidate, r *request.Request) bool {
 	for _, v := range c {
-		if v.server.knows(r) {
+		if v.server.hasCached(r) {
 			return true
 		}
 	}
 	return false
 }
 
-// calm is the part of its slots below which the candidate at a place gets the
-// request whatever others know. An object that this host knows nowhere goes to its
-// first place as long as that has a free slot, as on all hosts of the region: the
-// first request makes it known there for all of them. By loads alone, which each
-// host knows a little differently, hosts would make it known at both places, and
-// both times an answer is late.
-func (p *Placement) calm(place int, unknown bool) float64 {
+// loadThreshold returns the fraction of its slots below which the candidate at a position
+// is chosen regardless of which others have the object cached. If none has it cached, as
+// far as this host knows, the first candidate is chosen while it has a free slot. All
+// hosts of the region do so, and the first request caches the object for all of them. If
+// only load decided, which each host sees a little differently, hosts would have both
+// candidates cache the object, at the price of two late answers.
+func (p *Placement) loadThreshold(position int, uncached bool) float64 {
 	switch {
-	case p.Eager, place == 0 && unknown:
+	case p.Eager, position == 0 && uncached:
 		return 1
-	case place == 0:
-		return calm
+	case position == 0:
+		return lowLoad
 	default:
 		return 0
 	}
 }
 
-// admits reports whether r gets a slot at once or may wait for one. A request for
-// an object that is new here may only take a free slot. When many objects lose
-// their places at once, requests for new ones would otherwise fill all lines with
-// three times the work, be late themselves, and make those late for which a slot
-// has everything ready. Free slots are enough to make the objects known again,
-// each by one request.
+// admits reports whether r gets a slot at once or may queue for one. A request for an
+// object that s has not cached may only take a free slot. When many objects move at
+// once, such requests would otherwise fill all queues with three times the work, be
+// late themselves and delay requests for cached objects. Free slots are enough to
+// cache the objects again, with one request each.
 func (p *Placement) admits(s *server, r *request.Request, now time.Time) bool {
 	n, l := float64(s.backend.Slots), s.load(now)
-	return l < n || (p.Eager || s.knows(r)) && (l+1)/n <= 1+p.line(r.Priority)
+	return l < n || (p.Eager || s.hasCached(r)) && (l+1)/n <= 1+p.queueLimit(r.Priority)
 }
 
-// takes estimates when r would be done, in units of the work on a known object.
-func (s *server) takes(r *request.Request, now time.Time) float64 {
+// completion estimates the time until r is done, in units of the duration of a request
+// for a cached object.
+func (s *server) completion(r *request.Request, now time.Time) float64 {
 	n := float64(s.backend.Slots)
 	w := max(s.load(now)+1-n, 0) / n
-	if s.knows(r) {
+	if s.hasCached(r) {
 		return w + 1
 	}
-	return w + unknown
+	return w + uncachedWork
 }
 
 func (p *Placement) spread() int {
@@ -130,18 +130,18 @@
 	return p.Spread
 }
 
-func (p *Placement) line(priority int) float64 {
+func (p *Placement) queueLimit(priority int) float64 {
 	if p.Line != nil {
 		return p.Line(priority)
 	}
-	return line(priority)
+	return defaultQueueLimit(priority)
 }
 
-// line is how many requests may wait before each slot of a backend server, by
-// rank. Under overload the lines of the less urgent fill first, so that they
-// are refused while the more urgent still find room. Longer ones make the least
-// urgent wait so long that they are late.
-func line(priority int) float64 {
+// defaultQueueLimit returns how many requests of a priority may queue for each slot of a
+// backend server. Under overload, requests of low priority reach their limit first and
+// are refused while those of high priority still have room. With higher limits, requests
+// of the lowest priority wait so long that they are late.
+func defaultQueueLimit(priority int) float64 {
 	switch priority {
 	case 0:
 		return 1.2
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,5 +1,7 @@
-// Package placement chooses the backend server of a request: the one that has
-// its object, as long as that one has room.
+// Package placement chooses the backend server of a request. It prefers one that has
+// the request's object cached. A backend server counts as having an object cached if
+// it has recently worked on it; further requests for that object are then about three
+// times as fast there.
 package placement
 
 import (
@@ -23,117 +25,120 @@
 )
 
 const (
-	// consecutive failures take a backend server out of use; a first ejection
-	// lasts as long as a crashed one usually needs to start anew.
-	consecutive = 3
-	ejection    = time.Second
-	// ejected is the greatest part of a service's backend servers that is out
-	// of use for failures. When more fail, the cause is elsewhere.
-	ejected = 0.5
+	// consecutiveFailures is the number of failures in a row that eject a backend server.
+	consecutiveFailures = 3
+	// firstEjection is the duration of a first ejection: the time in which a crashed
+	// backend server usually restarts.
+	firstEjection = time.Second
+	// maxEjectedFraction is the greatest fraction of a service's backend servers that
+	// is ejected. When more fail, the cause is elsewhere.
+	maxEjectedFraction = 0.5
 )
 
-// Placement knows the load of the backend servers as far as this host can see
-// it: its own requests, and what answers report of all hosts' requests.
+// Placement places requests by the load of the backend servers as this host sees it:
+// its own requests, and the requests of all hosts as reported in answers.
 type Placement struct {
 	// Clock measures the age of reports.
 	Clock clockwork.Clock
 	// Log receives one line for each backend server that is ejected, and for each
-	// change of what bound requests leave of a region; nil means none.
+	// change of the share of a region that is left to requests which any region may
+	// serve; nil disables logging.
 	Log *log.Logger
 	// Region is the region of this host.
 	Region string
 	// Far is the weight of a backend server in another region, relative to one
-	// in this region. Most objects then stay near, and a region with few
-	// backend servers gives a part of its objects, always the same, to others.
+	// in this region. With a low weight most objects stay in the region, and a
+	// region with few backend servers hands a fixed part of its objects to others.
 	Far float64
-	// Spread is on how many backend servers an object may be at a time; zero
-	// means 2. When they are full, its requests are refused: sent to any other,
-	// they would take several times the work there, which would soon be full as
-	// well.
+	// Spread is the number of backend servers that may serve an object at a time;
+	// zero means 2. When they are full, requests for the object are refused: any
+	// other backend server would need several times the work and soon be full too.
 	Spread int
-	// Eager takes the first free slot, and lets requests wait anywhere, whatever a
-	// backend server knows. It is there for comparisons.
+	// Eager takes the first free slot and lets requests queue anywhere, regardless
+	// of cached objects. It serves as a baseline in simulations.
 	Eager bool
-	// Line is how many requests of a rank may wait before each slot of a backend
-	// server; nil means 1.2, 0.8 and 0.45 of ranks 0, 1 and the others.
+	// Line returns how many requests of a priority may queue for each slot of a
+	// backend server; nil means 1.2 for priority 0, 0.8 for 1 and 0.45 for others.
 	Line func(priority int) float64
-	// Pace divides what cold backend servers bear.
+	// Pace computes this host's part of the rate that a cold backend server can handle.
 	Pace *coldpace.Coldpace
-	// Limit holds backend servers that name a limit to it; nil means that none does.
+	// Limit enforces the rate limits that backend servers announce; nil means no limits.
 	Limit *backendlimit.Backendlimit
-	// Rate returns what a cold backend server of a service bears, in requests
-	// per second.
+	// Rate returns the rate that a cold backend server of a service can handle, in
+	// requests per second, and how long it stays cold after its start.
 	Rate func(service string) (perSecond float64, warmUp time.Duration)
 
-	mu       sync.Mutex
-	servers  map[string]*server
-	services map[string]*group
-	freed    chan struct{}
-	usual    map[string]time.Duration // the usual time of a route's requests
+	mu             sync.Mutex
+	servers        map[string]*server
+	pools          map[string]*pool
+	freed          chan struct{}
+	routeDurations map[string]time.Duration // moving average of the duration of requests, by route
 }
 
-// group is the backend servers of one service.
-type group struct {
+// pool holds the backend servers of one service.
+type pool struct {
 	servers []*server
 	names   []string
 	outlier outlier.Outlier
 	binding binding.Binding
 }
 
-// Set replaces the backend servers that may be used. What is known of those
-// that stay is kept.
+// Set replaces the list of usable backend servers. The state of backend servers that
+// remain in the list is kept unless they restarted or changed their address. The
+// function cold returns the time until which a backend server is cold.
 func (p *Placement) Set(l []backend.Backend, cold func(name string) time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	o, g := p.servers, p.services
+	o, g := p.servers, p.pools
 	p.servers = make(map[string]*server)
-	p.services = make(map[string]*group)
+	p.pools = make(map[string]*pool)
 	for _, b := range l {
 		s := o[b.Name]
 		if s == nil || s.backend.Started != b.Started || s.backend.Address != b.Address {
 			s = newServer()
 		}
 		s.backend = b
-		s.cold = deadline.Later(s.cold, cold(b.Name))
+		s.coldUntil = deadline.Later(s.coldUntil, cold(b.Name))
 		p.servers[b.Name] = s
-		v := p.services[b.Service]
+		v := p.pools[b.Service]
 		if v == nil {
-			v = g[b.Service].renew()
-			v.binding.Changed = func(region string, left float64) { p.tellLeft(b.Service, region, left) }
-			p.services[b.Service] = v
+			v = g[b.Service].withoutServers()
+			v.binding.Changed = func(region string, left float64) { p.logUnrestrictedPart(b.Service, region, left) }
+			p.pools[b.Service] = v
 		}
 		v.servers = append(v.servers, s)
 		v.names = append(v.names, b.Name)
 	}
-	for _, v := range p.services {
-		v.fit()
+	for _, v := range p.pools {
+		v.updateBinding()
 	}
-	p.wake()
+	p.notifyFreed()
 }
 
-// renew returns a group without backend servers that knows what this one does; nil
-// knows nothing.
-func (g *group) renew() *group {
+// withoutServers returns a pool without backend servers that keeps the outlier and
+// binding state of g; the state is empty if g is nil.
+func (g *pool) withoutServers() *pool {
 	if g == nil {
-		return &group{outlier: outlier.Outlier{Consecutive: consecutive, For: ejection, Fraction: ejected}}
+		return &pool{outlier: outlier.Outlier{Consecutive: consecutiveFailures, For: firstEjection, Fraction: maxEjectedFraction}}
 	}
-	return &group{outlier: g.outlier, binding: g.binding}
+	return &pool{outlier: g.outlier, binding: g.binding}
 }
 
-// tellLeft logs that requests which may go anywhere use more or less of a region.
-func (p *Placement) tellLeft(service, region string, left float64) {
+// logUnrestrictedPart logs a change of the fraction of a region that is left to requests
+// which any region may serve.
+func (p *Placement) logUnrestrictedPart(service, region string, left float64) {
 	if p.Log != nil {
 		p.Log.Info("region left to free requests", "Service", service, "Region", region, "Part", left)
 	}
 }
 
-// fit tells which regions the service has backend servers in.
-func (g *group) fit() {
+// updateBinding passes the slots of each region to the binding.
+func (g *pool) updateBinding() {
 	g.binding.Fit(g.slots())
 }
 
 // slots returns the slots of the service by region.
-func (g *group) slots() map[string]int {
+func (g *pool) slots() map[string]int {
 	n := make(map[string]int)
 	for _, s := range g.servers {
 		n[s.backend.Region] += s.backend.Slots
@@ -145,61 +150,62 @@
 func (p *Placement) Slots(service string) map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g := p.services[service]
+	g := p.pools[service]
 	if g == nil {
 		return nil
 	}
 	return g.slots()
 }
 
-// Count takes a request for one that has come. It is called once for each, however
-// often it then has to wait or is tried anew.
+// Count records the arrival of a request. It is called once for each request, however
+// often the request is queued or retried.
 func (p *Placement) Count(r *request.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if g := p.services[r.Service.Name]; g != nil {
+	if g := p.pools[r.Service.Name]; g != nil {
 		g.binding.Count(r.Homes, p.Clock.Now())
 	}
 }
 
-// Take chooses a backend server for r and counts r there until Release. Wait
-// tells that one may have room soon; without it there is none at all.
+// Take chooses a backend server for r and counts r as active there until Release or
+// Deny. If ok is false, wait reports whether a backend server may have room soon;
+// otherwise none is available at all.
 func (p *Placement) Take(r *request.Request) (b backend.Backend, ok, wait bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g := p.services[r.Service.Name]
+	g := p.pools[r.Service.Name]
 	if g == nil {
 		return backend.Backend{}, false, false
 	}
 	n := p.Clock.Now()
-	c := p.places(p.candidates(g, r, n))
+	c := p.available(p.candidates(g, r, n))
 	s := p.choose(c, r, n)
 	if s == nil {
 		return backend.Backend{}, false, len(c) > 0
 	}
 	r.Trail.Add(n, "request placed", "Backend", s.backend.Name, "Load", s.load(n), "Slots", s.backend.Slots,
-		"ReportAge", n.Sub(s.seen), "Known", s.knows(r), "Candidates", len(c), "Cold", s.cold.After(n))
-	s.take(r, n, !s.knows(r))
-	s.learn(r)
+		"ReportAge", n.Sub(s.reportedAt), "Known", s.hasCached(r), "Candidates", len(c), "Cold", s.coldUntil.After(n))
+	s.add(r, n, !s.hasCached(r))
+	s.addObject(r)
 	if p.Limit != nil {
 		p.Limit.Spend(s.backend)
 	}
 	return s.backend, true, false
 }
 
-// Again returns in which time the first of the backend servers that r may go to gets a
-// request, by its limit or by a permit; zero if that is not what keeps r.
+// Again returns the time until the first preferred backend server of r may be sent a
+// request again under its rate limit or permit; zero if neither delays r.
 func (p *Placement) Again(r *request.Request) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g := p.services[r.Service.Name]
+	g := p.pools[r.Service.Name]
 	if g == nil {
 		return 0
 	}
 	n := p.Clock.Now()
 	var d time.Duration
-	for _, c := range p.reachable(p.candidates(g, r, n)) {
-		u := c.server.denied.Sub(n)
+	for _, c := range p.preferred(p.candidates(g, r, n)) {
+		u := c.server.deniedUntil.Sub(n)
 		if p.Limit != nil {
 			u = max(u, p.Limit.Until(c.server.backend))
 		}
@@ -210,8 +216,7 @@
 	return d
 }
 
-// Freed returns a channel that is closed when a backend server may have got
-// room.
+// Freed returns a channel that is closed when a backend server may have room again.
 func (p *Placement) Freed() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -221,8 +226,8 @@
 	return p.freed
 }
 
-// Deny ends a request that Take counted and that is not sent, as there is no permit. The
-// backend server gets nothing of this host for a while.
+// Deny ends a request that was taken but isn't sent because there is no permit for it.
+// This host sends the backend server nothing for the duration d.
 func (p *Placement) Deny(name string, q *request.Request, d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -230,22 +235,22 @@
 	if s == nil {
 		return
 	}
-	s.denied = p.Clock.Now().Add(d)
-	if f, ok := s.end(q); ok && f.learned {
-		s.forget(q)
+	s.deniedUntil = p.Clock.Now().Add(d)
+	if f, ok := s.remove(q); ok && f.addedObject {
+		s.removeObject(q)
 	}
 }
 
-// Report takes what a backend server said of itself in an answer.
+// Report records the load that a backend server reported in an answer.
 func (p *Placement) Report(name string, running, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.servers[name]; s != nil {
-		s.report(running+waiting, p.Clock.Now())
+		s.updateLoad(running+waiting, p.Clock.Now())
 	}
 }
 
-// Release ends a request that Take counted.
+// Release ends a request that was taken.
 func (p *Placement) Release(name string, q *request.Request, r result.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -253,62 +258,64 @@
 	if s == nil {
 		return
 	}
-	if f, ok := s.end(q); ok {
-		p.ended(s, q.Route, p.Clock.Since(f.since), r)
+	if f, ok := s.remove(q); ok {
+		p.observeDuration(s, q.Route, p.Clock.Since(f.startedAt), r)
 	}
 	switch r {
 	case result.Shed, result.Refused, result.Failed, result.Unused:
-		s.forget(q)
+		s.removeObject(q)
 	case result.Succeeded, result.Canceled:
 	}
-	p.judge(s, r, p.Clock.Now())
-	p.wake()
+	p.recordResult(s, r, p.Clock.Now())
+	p.notifyFreed()
 }
 
-// ended learns from how long a request was at a backend server. One that was canceled
-// tells as well: where lines are so long that time runs out, few others end.
-func (p *Placement) ended(s *server, route string, d time.Duration, r result.Result) {
+// observeDuration updates the averages with the duration of a request. Canceled requests
+// count for the backend server's average: where queues are so long that requests time
+// out, few end otherwise.
+func (p *Placement) observeDuration(s *server, route string, d time.Duration, r result.Result) {
 	if r == result.Succeeded {
-		p.learn(route, d)
+		p.updateRouteDuration(route, d)
 	}
 	if (r == result.Succeeded || r == result.Canceled) && !p.Eager {
-		s.last(d)
+		s.updateDuration(d)
 	}
 }
 
-// judge takes backend servers that fail out of use for a while.
-func (p *Placement) judge(s *server, r result.Result, now time.Time) {
-	g := p.services[s.backend.Service]
+// recordResult passes a result to outlier detection, which ejects failing backend servers.
+func (p *Placement) recordResult(s *server, r result.Result, now time.Time) {
+	g := p.pools[s.backend.Service]
 	switch r {
 	case result.Succeeded:
 		g.outlier.Succeed(s.backend.Name)
 	case result.Shed:
-		s.shed(now)
+		s.markFull(now)
 		if s.load(now) < float64(s.backend.Slots) {
-			// It refuses though it has room: its word on itself is wrong.
-			p.fail(g, s, now)
+			// It refuses requests although it has room by its reported load: the
+			// report is wrong.
+			p.recordFailure(g, s, now)
 		}
 	case result.Failed, result.Refused:
-		p.fail(g, s, now)
+		p.recordFailure(g, s, now)
 		if r == result.Refused {
-			// It may be about to start anew, and is cold then.
+			// It may be restarting and will then be cold.
 			_, w := p.Rate(s.backend.Service)
-			s.cold = deadline.Later(s.cold, now.Add(w+ejection))
+			s.coldUntil = deadline.Later(s.coldUntil, now.Add(w+firstEjection))
 		}
 	case result.Canceled, result.Unused:
 	}
 }
 
-func (p *Placement) fail(g *group, s *server, now time.Time) {
+func (p *Placement) recordFailure(g *pool, s *server, now time.Time) {
 	t, ok := g.outlier.Fail(s.backend.Name, g.names, now)
 	if ok && p.Log != nil {
 		p.Log.Warn("backend server ejected", "Backend", s.backend.Name, "Service", s.backend.Service, "For", t.Sub(now))
 	}
 }
 
-// candidates returns the backend servers that r may go to, in the order in which
-// its object prefers them.
-func (p *Placement) candidates(g *group, r *request.Request, now time.Time) []candidate {
+// candidates returns the backend servers that may serve r, most preferred first by the
+// rendezvous score of its object.
+func (p *Placement) candidates(g *pool, r *request.Request, now time.Time) []candidate {
 	q, _ := p.Rate(r.Service.Name)
 	k := r.Service.Name + "\x00" + r.Object
 	if r.Object == "" {
@@ -326,27 +333,27 @@
 		}
 		c = append(c, candidate{
 			server: s, score: rendezvous.Score(k, b.Name, w),
-			denied: s.denied.After(now),
-			resting: g.outlier.Ejected(b.Name, now) || s.denied.After(now) || s.cold.After(now) && !s.paced(p.Pace.Part(b.Name, q), now) ||
+			denied: s.deniedUntil.After(now),
+			unavailable: g.outlier.Ejected(b.Name, now) || s.deniedUntil.After(now) || s.coldUntil.After(now) && !s.withinColdRate(p.Pace.Part(b.Name, q), now) ||
 				p.Limit != nil && !p.Limit.Allow(b),
 		})
 	}
 	sort.Slice(c, func(i, j int) bool { return c[i].score > c[j].score })
 	for i := range c {
-		c[i].place = i
+		c[i].position = i
 	}
 	return c
 }
 
-func (p *Placement) wake() {
+func (p *Placement) notifyFreed() {
 	if p.freed != nil {
 		close(p.freed)
 		p.freed = nil
 	}
 }
 
-// decay is what is left of a report after some time: requests that others had
-// there have ended meanwhile.
+// decay returns the weight of a load report of some age: the requests of other hosts
+// that it counted end over time.
 func decay(age, life time.Duration) float64 {
 	return math.Exp(-float64(age) / float64(life))
 }
--- a/placement/server.go
+++ b/placement/server.go
@@ -11,163 +11,167 @@
 )
 
 const (
-	// A report of other hosts' load fades to a third in reportLives times the time
-	// that requests last at the backend server, and no less than leastLife. Until
-	// then most of the requests that it counted are still there.
-	reportLives = 3
-	leastLife   = time.Second
-	// lifeSamples is over how many requests that time is taken.
-	lifeSamples = 16
-	// shedLife is how long a backend server that refused a request for want
-	// of room counts as full.
-	shedLife = 200 * time.Millisecond
-	// A request that runs overdueFactor times as long as is usual, and no less
-	// than overdueLeast, tells that its backend server is in trouble.
+	// A report of other hosts' load decays to about a third of its value in
+	// reportLifeFactor times the mean duration of requests at the backend server, but
+	// at least in minReportLife. Until then most of the reported requests are still
+	// active.
+	reportLifeFactor = 3
+	minReportLife    = time.Second
+	// durationSamples is the number of requests over which that mean is taken.
+	durationSamples = 16
+	// fullAfterShed is how long a backend server counts as full after it refused a
+	// request for lack of room.
+	fullAfterShed = 200 * time.Millisecond
+	// A request is overdue if it runs for more than overdueFactor times the mean
+	// duration of its route and for more than overdueMin.
 	overdueFactor = 4
-	overdueLeast  = 400 * time.Millisecond
-	// keptObjects is how many objects of a backend server are remembered here.
-	// Today's backend servers keep 26 to 64.
-	keptObjects = 64
-	// usualSamples is over how many answers the usual time is taken.
-	usualSamples = 50
+	overdueMin    = 400 * time.Millisecond
+	// maxObjects is the number of cached objects that are tracked for each backend
+	// server. Current backend servers cache 26 to 64.
+	maxObjects = 64
+	// routeDurationSamples is the number of answers over which the mean duration of a
+	// route is taken.
+	routeDurationSamples = 50
 )
 
-// server is what this host knows of one backend server.
+// server is the state of one backend server as this host knows it.
 type server struct {
-	backend backend.Backend
-	running []flight      // requests of this host
-	others  float64       // requests of other hosts, when last reported
-	seen    time.Time     // when that was
-	lasting time.Duration // how long requests of this host last there, waits included
-	full    time.Time     // until when it counts as full
-	cold    time.Time     // until when it is cold
-	denied  time.Time     // until when there is no permit to send it anything
-	sent    []time.Time
-	// objects are those that it has lately worked on for this host.
+	backend      backend.Backend
+	running      []activeRequest // active requests of this host
+	otherLoad    float64         // active requests of other hosts at reportedAt
+	reportedAt   time.Time       // time of the last load report
+	meanDuration time.Duration   // of this host's requests there, queueing included
+	fullUntil    time.Time       // counts as full until then
+	coldUntil    time.Time       // cold until then
+	deniedUntil  time.Time       // no permit to send requests until then
+	coldSends    []time.Time     // times of recent requests sent while it was cold
+	// objects are those that it has recently worked on for this host.
 	objects *simplelru.LRU[string, struct{}]
 }
 
 func newServer() *server {
-	l, err := simplelru.NewLRU[string, struct{}](keptObjects, nil)
+	l, err := simplelru.NewLRU[string, struct{}](maxObjects, nil)
 	if err != nil {
 		panic(err) // the size is a constant above zero
 	}
 	return &server{objects: l}
 }
 
-// flight is a request on its way.
-type flight struct {
-	id, route string
-	since     time.Time
-	learned   bool // its object was not known there before
+// activeRequest is a request that was taken and hasn't ended.
+type activeRequest struct {
+	id, route   string
+	startedAt   time.Time
+	addedObject bool // the request added its object to server.objects
 }
 
-// candidate is a backend server that a request may go to.
+// candidate is a backend server that may serve a request.
 type candidate struct {
-	server  *server
-	score   float64
-	place   int  // how many others the object prefers
-	resting bool // it gets nothing for a moment
-	denied  bool // there is no permit for it
+	server      *server
+	score       float64
+	position    int  // in the order of preference, 0 first
+	unavailable bool // it can't be sent a request at the moment
+	denied      bool // there is no permit for it at the moment
 }
 
-// load estimates the requests that run or wait there.
+// load estimates the requests of all hosts that run or queue there.
 func (s *server) load(now time.Time) float64 {
-	return float64(len(s.running)) + s.others*decay(now.Sub(s.seen), max(reportLives*s.lasting, leastLife))
+	return float64(len(s.running)) + s.otherLoad*decay(now.Sub(s.reportedAt), max(reportLifeFactor*s.meanDuration, minReportLife))
 }
 
-// last notes how long a request was there. A backend server with long work, or with
-// a long line, is as full as it said for longer; by a report that fades too soon each
-// host would send it more, and all that waits there would run out of time.
-func (s *server) last(d time.Duration) {
-	if s.lasting == 0 {
-		s.lasting = d
+// updateDuration adds the duration of a request to the mean. The reported load of a
+// backend server with long requests or a long queue is valid for longer. If reports
+// decayed too soon, each host would send it more, and all queued requests would time out.
+func (s *server) updateDuration(d time.Duration) {
+	if s.meanDuration == 0 {
+		s.meanDuration = d
 	}
-	s.lasting += (d - s.lasting) / lifeSamples
+	s.meanDuration += (d - s.meanDuration) / durationSamples
 }
 
-func (s *server) report(total int, now time.Time) {
-	// The answer is that of a request which is still counted here.
-	s.others = max(float64(total-len(s.running)+1), 0)
-	s.seen = now
+func (s *server) updateLoad(total int, now time.Time) {
+	// The request whose answer carries the report still counts as running here but
+	// not in total.
+	s.otherLoad = max(float64(total-len(s.running)+1), 0)
+	s.reportedAt = now
 }
 
-// knows reports whether the backend server has lately worked on the object of r,
-// as far as this host can tell. Most of an object's requests come through the few
-// hosts of one region.
-func (s *server) knows(r *request.Request) bool {
-	return r.Object == "" || s.objects.Contains(objectOf(r))
+// hasCached reports whether the backend server has recently worked on the object of r,
+// as far as this host knows. Most requests for an object arrive at the few hosts of one
+// region. A request without an object counts as cached everywhere.
+func (s *server) hasCached(r *request.Request) bool {
+	return r.Object == "" || s.objects.Contains(objectKey(r))
 }
 
-// learn notes that the backend server works on the object of r. From the start of
-// the first request on, others for the object are done as fast as later ones.
-func (s *server) learn(r *request.Request) {
+// addObject records that the backend server works on the object of r. The object counts
+// as cached from the start of the first request: further requests are fast from then on.
+func (s *server) addObject(r *request.Request) {
 	if r.Object != "" {
-		s.objects.Add(objectOf(r), struct{}{})
+		s.objects.Add(objectKey(r), struct{}{})
 	}
 }
 
-// forget notes that the backend server has not worked on the object of r, or not to
-// an end.
-func (s *server) forget(r *request.Request) {
-	s.objects.Remove(objectOf(r))
+// removeObject records that the backend server has not worked on the object of r, or has
+// not completed the work.
+func (s *server) removeObject(r *request.Request) {
+	s.objects.Remove(objectKey(r))
 }
 
-// objectOf names the object of a request: services have objects of their own.
-func objectOf(r *request.Request) string {
+// objectKey returns the key of a request's object, which is unique across services.
+func objectKey(r *request.Request) string {
 	return r.Service.Name + "\x00" + r.Object
 }
 
-func (s *server) shed(now time.Time) {
-	s.full = now.Add(shedLife)
+func (s *server) markFull(now time.Time) {
+	s.fullUntil = now.Add(fullAfterShed)
 }
 
-func (s *server) take(r *request.Request, now time.Time, learned bool) {
-	s.running = append(s.running, flight{id: r.ID, route: r.Route, since: now, learned: learned})
-	if s.cold.After(now) {
-		s.sent = append(s.sent, now)
+func (s *server) add(r *request.Request, now time.Time, addedObject bool) {
+	s.running = append(s.running, activeRequest{id: r.ID, route: r.Route, startedAt: now, addedObject: addedObject})
+	if s.coldUntil.After(now) {
+		s.coldSends = append(s.coldSends, now)
 	}
 }
 
-// end takes a request out.
-func (s *server) end(r *request.Request) (flight, bool) {
+// remove deletes a request from the active ones and returns it.
+func (s *server) remove(r *request.Request) (activeRequest, bool) {
 	for i, f := range s.running {
 		if f.id == r.ID {
 			s.running = append(s.running[:i], s.running[i+1:]...)
 			return f, true
 		}
 	}
-	return flight{}, false
+	return activeRequest{}, false
 }
 
-// overdue reports whether a request runs there for much longer than is usual on
-// its route: the backend server is slow or silent, or has a line that no report
-// has told of yet.
-func (p *Placement) overdue(s *server, now time.Time) bool {
+// hasOverdue reports whether a request runs there for much longer than the mean of its
+// route: the backend server is slow, doesn't respond, or has a queue that isn't in any
+// load report yet.
+func (p *Placement) hasOverdue(s *server, now time.Time) bool {
 	for _, f := range s.running {
-		u, ok := p.usual[f.route]
-		if ok && now.Sub(f.since) > max(overdueFactor*u, overdueLeast) {
+		u, ok := p.routeDurations[f.route]
+		if ok && now.Sub(f.startedAt) > max(overdueFactor*u, overdueMin) {
 			return true
 		}
 	}
 	return false
 }
 
-// learn keeps the usual time of a route's requests.
-func (p *Placement) learn(route string, d time.Duration) {
-	if p.usual == nil {
-		p.usual = make(map[string]time.Duration)
+// updateRouteDuration adds the duration of a request to the mean of its route.
+func (p *Placement) updateRouteDuration(route string, d time.Duration) {
+	if p.routeDurations == nil {
+		p.routeDurations = make(map[string]time.Duration)
 	}
-	u, ok := p.usual[route]
+	u, ok := p.routeDurations[route]
 	if !ok {
 		u = d
 	}
-	p.usual[route] = u + (d-u)/usualSamples
+	p.routeDurations[route] = u + (d-u)/routeDurationSamples
 }
 
-// paced reports whether a cold backend server may get one more request.
-func (s *server) paced(part int, now time.Time) bool {
+// withinColdRate reports whether a cold backend server may be sent one more request, part
+// being the number that this host may send in a second.
+func (s *server) withinColdRate(part int, now time.Time) bool {
 	var ok bool
-	s.sent, ok = coldpace.Allow(s.sent, part, now)
+	s.coldSends, ok = coldpace.Allow(s.coldSends, part, now)
 	return ok
 }
--- a/placementtrial/placementtrial.go
+++ b/placementtrial/placementtrial.go
@@ -1,6 +1,6 @@
-// Package placementtrial simulates backend servers that work faster on objects
-// they know, under the loads at which that is decided, and compares ways to
-// place requests on the same arrivals.
+// Package placementtrial simulates backend servers that are faster on cached objects, under
+// loads at which this decides whether answers are in time. It compares placement policies
+// on the same arrivals.
 package placementtrial
 
 import (
@@ -18,161 +18,166 @@
 	"celeryreach.example/celeryreach/timeline"
 )
 
-// The model is of today's gallery service: its work, its objects, and how much
-// faster a backend server is on an object that it knows.
+// The model follows the gallery service: the duration of its requests, its objects, and how
+// much faster a backend server is on a cached object.
 const (
-	hosts    = 8
-	count    = 12
-	slots    = 5
-	line     = 3 * slots
-	keeps    = 32
-	objects  = 31
-	work     = 640 * time.Millisecond
-	warmPart = 0.3
-	// perSecond is half of what the backend servers can do when they know all
-	// objects, and 1.7 times what they can do when they know none.
-	perSecond = 160
-	objective = 400 * time.Millisecond
-	timeLimit = 3 * time.Second
-	// strikes is when the trouble begins and ends when it is over.
-	strikes = 5 * time.Second
-	ends    = 12 * time.Second
-	// slowness is how many times as long a slow backend server works.
-	slowness = 6
-	// boundPart of the requests must be served in the first of the regions.
-	boundPart = 0.55
-	// far is the weight of other regions, as hosts have it.
-	far = 0.15
+	hostCount        = 8
+	serverCount      = 12
+	slotsPerServer   = 5
+	maxQueue         = 3 * slotsPerServer
+	cacheSize        = 32
+	objectCount      = 31
+	uncachedDuration = 640 * time.Millisecond
+	cachedFactor     = 0.3
+	// arrivalsPerSecond is half the capacity of the backend servers when all objects are
+	// cached, and 1.7 times their capacity when none are.
+	arrivalsPerSecond = 160
+	latencyObjective  = 400 * time.Millisecond
+	requestTimeout    = 3 * time.Second
+	// troubleStart and troubleEnd delimit the trouble.
+	troubleStart = 5 * time.Second
+	troubleEnd   = 12 * time.Second
+	// slowServerFactor multiplies the duration of requests at a slow backend server.
+	slowServerFactor = 6
+	// restrictedFraction is the fraction of the requests that must be served in the
+	// first region.
+	restrictedFraction = 0.55
+	// remoteWeight is the weight of other regions, the same as in production hosts.
+	remoteWeight = 0.15
 )
 
-// Window is the time for which requests are counted together.
+// Window is the length of the intervals by which requests are counted.
 const Window = 2 * time.Second
 
-// Ways to place requests.
+// Placement policies.
 const (
 	// Product is package placement as hosts use it.
 	Product = "product"
-	// Eager is package placement before it knew which backend servers know an
-	// object.
+	// Eager is package placement without regard to cached objects, as in an earlier
+	// version.
 	Eager = "eager"
-	// Anywhere is package placement before it bounded the spread of objects.
+	// Anywhere is package placement with no bound on the backend servers of an object,
+	// as in an earlier version.
 	Anywhere = "anywhere"
-	// Affinity sends each object to one backend server, whatever its load.
+	// Affinity sends each object to one backend server regardless of its load.
 	Affinity = "affinity"
-	// LeastLoaded goes by each host's own requests.
+	// LeastLoaded picks the backend server with the fewest active requests of the host.
 	LeastLoaded = "least-loaded"
-	// Random draws a backend server.
+	// Random picks a random backend server.
 	Random = "random"
 )
 
-// Troubles.
+// Kinds of trouble.
 const (
-	// Calm has no trouble but the start, at which nobody knows any object.
+	// Calm has no trouble but the start, when no object is cached.
 	Calm = "calm"
-	// Lost takes five of twelve backend servers away for some seconds.
+	// Lost takes five of twelve backend servers down for some seconds.
 	Lost = "lost"
-	// Short is a start with five of twelve backend servers away for some seconds:
-	// nobody knows any object, and there are few free slots to learn them in.
+	// Short takes five of twelve backend servers down from the start: no object is
+	// cached, and there are few free slots in which to cache them.
 	Short = "short"
 	// Slow makes two backend servers slow for some seconds.
 	Slow = "slow"
 	// Burst doubles the arrivals for some seconds.
 	Burst = "burst"
-	// Bound lets a large account be served in one region only, all the time. It has
-	// callers everywhere and brings more than half of the requests; the region has a
+	// Bound restricts a large account to one region for the whole run. The account has
+	// callers everywhere and sends more than half of the requests; the region has a
 	// third of the backend servers.
 	Bound = "bound"
 )
 
-// Placementtrial is one run.
+// Placementtrial is one run of the simulation.
 type Placementtrial struct {
-	// Seed draws the arrivals, which are the same for all ways.
+	// Seed seeds the random arrivals, which are the same for all policies.
 	Seed uint64
 	// For is the simulated time.
 	For time.Duration
-	// Way places the requests.
+	// Way is the placement policy.
 	Way string
-	// Trouble is what happens from 5 s to 12 s.
+	// Trouble is the kind of trouble. Unless its description states otherwise, it lasts
+	// from 5 s to 12 s.
 	Trouble string
-	// Regions is how many regions have hosts and objects of their own: callers of
-	// an object come through the hosts of its region. Zero means one.
+	// Regions is the number of regions with hosts and objects of their own: requests
+	// for an object arrive at the hosts of its region. Zero means one.
 	Regions int
 
-	time    *timeline.Timeline
-	random  *rand.Rand
-	servers []*server
-	hosts   []*placement.Placement
-	own     [hosts][count]int
-	buckets []bucketCount
+	schedule       *timeline.Timeline
+	random         *rand.Rand
+	servers        []*server
+	hosts          []*placement.Placement
+	activeRequests [hostCount][serverCount]int
+	windows        []windowCounts
 }
 
-// Run simulates.
+// Run runs the simulation.
 func (p *Placementtrial) Run() {
-	p.time = timeline.New()
+	p.schedule = timeline.New()
 	p.random = rand.New(rand.NewPCG(p.Seed, 1))
-	p.buckets = make([]bucketCount, int(p.For/Window)+1)
-	for i := range count {
-		p.servers = append(p.servers, &server{index: i, name: fmt.Sprint("server-", i), slow: 1})
+	p.windows = make([]windowCounts, int(p.For/Window)+1)
+	for i := range serverCount {
+		p.servers = append(p.servers, &server{index: i, name: fmt.Sprint("server-", i), slowdown: 1})
 	}
-	for i := range hosts {
-		p.hosts = append(p.hosts, p.host(i))
+	for i := range hostCount {
+		p.hosts = append(p.hosts, p.newHost(i))
 	}
-	p.tellHosts()
-	p.arrivals()
+	p.updateHosts()
+	p.scheduleArrivals()
 	if p.Trouble == Short {
-		p.strike(true)
+		p.setTrouble(true)
 	}
-	p.time.At(strikes, func() { p.strike(true) })
-	p.time.At(ends, func() { p.strike(false) })
-	p.time.Run(func() {})
+	p.schedule.At(troubleStart, func() { p.setTrouble(true) })
+	p.schedule.At(troubleEnd, func() { p.setTrouble(false) })
+	p.schedule.Run(func() {})
 }
 
-// Timely returns the part of the requests between two times that was answered
-// within the objective.
+// Timely returns the fraction of the requests arriving between two times that was answered
+// within the latency objective.
 func (p *Placementtrial) Timely(from, to time.Duration) float64 {
-	var c bucketCount
-	for _, b := range p.buckets[from/Window : to/Window] {
-		c.asked += b.asked
+	var c windowCounts
+	for _, b := range p.windows[from/Window : to/Window] {
+		c.total += b.total
 		c.timely += b.timely
 	}
-	return float64(c.timely) / float64(max(c.asked, 1))
+	return float64(c.timely) / float64(max(c.total, 1))
 }
 
-// BoundTimely is Timely of the requests that must be served in one region.
+// BoundTimely returns the same fraction as Timely, but only of the requests that must be
+// served in one region.
 func (p *Placementtrial) BoundTimely(from, to time.Duration) float64 {
 	var n, t int
-	for _, b := range p.buckets[from/Window : to/Window] {
-		n += b.bound
-		t += b.boundTimely
+	for _, b := range p.windows[from/Window : to/Window] {
+		n += b.restricted
+		t += b.restrictedTimely
 	}
 	return float64(t) / float64(max(n, 1))
 }
 
-// Report returns a line for each two seconds.
+// Report returns a header line and one line for each window.
 func (p *Placementtrial) Report() []string {
-	l := []string{"from asked timely late refused failed"}
-	for i, b := range p.buckets {
-		l = append(l, fmt.Sprint(time.Duration(i)*Window, " ", b.asked, " ", b.timely, " ", b.late, " ", b.refused, " ", b.failed))
+	l := []string{"from requests timely late refused failed"}
+	for i, b := range p.windows {
+		l = append(l, fmt.Sprint(time.Duration(i)*Window, " ", b.total, " ", b.timely, " ", b.late, " ", b.refused, " ", b.failed))
 	}
 	return l
 }
 
-func (p *Placementtrial) host(index int) *placement.Placement {
+func (p *Placementtrial) newHost(index int) *placement.Placement {
 	h := &placement.Placement{
-		Clock: p.time.Clock, Region: p.region(index), Far: far,
+		Clock: p.schedule.Clock, Region: p.region(index), Far: remoteWeight,
 		Pace: &coldpace.Coldpace{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 1, Slack: 1000},
 		Rate: func(string) (float64, time.Duration) { return 1000, 0 },
 	}
 	switch p.Way {
 	case Anywhere:
-		h.Spread, h.Eager, h.Line = count, true, shortLine
+		h.Spread, h.Eager, h.Line = serverCount, true, shortQueueLimit
 	case Eager:
-		h.Eager, h.Line = true, shortLine
+		h.Eager, h.Line = true, shortQueueLimit
 	}
 	return h
 }
 
-// region is that of a host or backend server; all are in one but for Bound.
+// region returns the region of the host or backend server with an index. All are in one
+// region unless the trouble is Bound.
 func (p *Placementtrial) region(index int) string {
 	if p.Trouble != Bound {
 		return "here"
@@ -180,16 +185,17 @@
 	return fmt.Sprint("region-", index%max(p.Regions, 1))
 }
 
-// shortLine is the line of the earlier versions; all requests here have rank 2.
-func shortLine(int) float64 {
+// shortQueueLimit is the queue limit of the earlier versions for priority 2, which all
+// simulated requests have.
+func shortQueueLimit(int) float64 {
 	return 0.4
 }
 
-func (p *Placementtrial) tellHosts() {
+func (p *Placementtrial) updateHosts() {
 	var l []backend.Backend
 	for _, s := range p.servers {
 		if !s.down {
-			l = append(l, backend.Backend{Name: s.name, Service: "gallery", Region: p.region(s.index), Slots: slots, Started: int64(s.life)})
+			l = append(l, backend.Backend{Name: s.name, Service: "gallery", Region: p.region(s.index), Slots: slotsPerServer, Started: int64(s.restarts)})
 		}
 	}
 	for _, h := range p.hosts {
@@ -197,66 +203,67 @@
 	}
 }
 
-func (p *Placementtrial) arrivals() {
+func (p *Placementtrial) scheduleArrivals() {
 	n := 0
 	for t := time.Duration(0); t < p.For; {
-		r := float64(perSecond)
-		if p.Trouble == Burst && t >= strikes && t < ends {
+		r := float64(arrivalsPerSecond)
+		if p.Trouble == Burst && t >= troubleStart && t < troubleEnd {
 			r *= 2
 		}
 		t += time.Duration(p.random.ExpFloat64() / r * float64(time.Second))
 		n++
-		h := p.random.IntN(hosts)
-		v := &visit{
-			host: h, object: p.object(h), began: t,
-			factor: 0.85 + 0.3*p.random.Float64(), bucket: &p.buckets[min(int(t/Window), len(p.buckets)-1)],
+		h := p.random.IntN(hostCount)
+		v := &simulatedRequest{
+			host: h, object: p.randomObject(h), arrivedAt: t,
+			workFactor: 0.85 + 0.3*p.random.Float64(), window: &p.windows[min(int(t/Window), len(p.windows)-1)],
 			request: &request.Request{ID: fmt.Sprint(n), Route: "view", Priority: 2, Service: service.Service{Name: "gallery"}},
 		}
 		v.request.Object = fmt.Sprint("object-", v.object)
-		p.bind(v)
-		p.time.At(t, func() { p.arrive(v) })
+		p.restrictRegion(v)
+		p.schedule.At(t, func() { p.arrive(v) })
 	}
 }
 
-// bind draws whether a request is one of the account that is bound to a region.
-func (p *Placementtrial) bind(v *visit) {
-	if p.Trouble != Bound || p.random.Float64() > boundPart {
+// restrictRegion decides at random whether a request belongs to the account that is
+// restricted to the first region.
+func (p *Placementtrial) restrictRegion(v *simulatedRequest) {
+	if p.Trouble != Bound || p.random.Float64() > restrictedFraction {
 		return
 	}
-	v.bound = true
+	v.restricted = true
 	v.request.Homes = func(r string) bool { return r == p.region(0) }
 }
 
-// object draws an object of a host's region.
-func (p *Placementtrial) object(host int) int {
+// randomObject returns a random object of a host's region.
+func (p *Placementtrial) randomObject(host int) int {
 	g := max(p.Regions, 1)
 	r := host % g
-	return r + g*p.random.IntN((objects-r+g-1)/g)
+	return r + g*p.random.IntN((objectCount-r+g-1)/g)
 }
 
-func (p *Placementtrial) arrive(v *visit) {
-	v.bucket.ask(v.bound)
+func (p *Placementtrial) arrive(v *simulatedRequest) {
+	v.window.countArrival(v.restricted)
 	p.hosts[v.host].Count(v.request)
 	i, ok := p.place(v)
 	if !ok {
-		v.bucket.refused++
+		v.window.refused++
 		return
 	}
 	s := p.servers[i]
-	p.own[v.host][i]++
+	p.activeRequests[v.host][i]++
 	switch {
-	case s.down, s.running == slots && len(s.waiting) == line:
-		p.leave(v, s, result.Shed)
-		v.bucket.refused++
-	case s.running < slots:
-		p.begin(v, s)
+	case s.down, s.running == slotsPerServer && len(s.waiting) == maxQueue:
+		p.release(v, s, result.Shed)
+		v.window.refused++
+	case s.running < slotsPerServer:
+		p.start(v, s)
 	default:
 		s.waiting = append(s.waiting, v)
 	}
 }
 
-// place chooses a backend server by the way of this run.
-func (p *Placementtrial) place(v *visit) (int, bool) {
+// place chooses a backend server by the policy of this run.
+func (p *Placementtrial) place(v *simulatedRequest) (int, bool) {
 	switch p.Way {
 	case Product, Eager, Anywhere:
 		b, ok, _ := p.hosts[v.host].Take(v.request)
@@ -269,14 +276,14 @@
 			}
 		}
 	case Affinity:
-		return p.best(v, func(s *server) float64 { return rendezvous.Uniform(v.request.Object, s.name) })
+		return p.highestScore(v, func(s *server) float64 { return rendezvous.Uniform(v.request.Object, s.name) })
 	case LeastLoaded:
-		return p.best(v, func(s *server) float64 { return -float64(p.own[v.host][s.index]) + p.random.Float64() })
+		return p.highestScore(v, func(s *server) float64 { return -float64(p.activeRequests[v.host][s.index]) + p.random.Float64() })
 	}
-	return p.best(v, func(*server) float64 { return p.random.Float64() })
+	return p.highestScore(v, func(*server) float64 { return p.random.Float64() })
 }
 
-func (p *Placementtrial) best(v *visit, score func(s *server) float64) (int, bool) {
+func (p *Placementtrial) highestScore(v *simulatedRequest, score func(s *server) float64) (int, bool) {
 	m, b := -1, 0.0
 	for _, s := range p.servers {
 		if s.down || v.request.Homes != nil && !v.request.Homes(p.region(s.index)) {
@@ -289,47 +296,47 @@
 	return m, m >= 0
 }
 
-func (p *Placementtrial) begin(v *visit, s *server) {
+func (p *Placementtrial) start(v *simulatedRequest, s *server) {
 	s.running++
-	d := float64(work) * v.factor * s.slow
-	if s.knows(v.object) {
-		d *= warmPart
+	d := float64(uncachedDuration) * v.workFactor * s.slowdown
+	if s.accessObject(v.object) {
+		d *= cachedFactor
 	}
-	n := s.life
-	p.time.At(p.time.Now()+time.Duration(d), func() { p.end(v, s, n) })
+	n := s.restarts
+	p.schedule.At(p.schedule.Now()+time.Duration(d), func() { p.finish(v, s, n) })
 }
 
-func (p *Placementtrial) end(v *visit, s *server, life int) {
-	if s.life != life {
-		return // the backend server went down with it
+func (p *Placementtrial) finish(v *simulatedRequest, s *server, restarts int) {
+	if s.restarts != restarts {
+		return // the backend server crashed and lost the request
 	}
 	s.running--
 	p.hosts[v.host].Report(s.name, s.running, len(s.waiting))
-	p.leave(v, s, result.Succeeded)
-	if d := p.time.Now() - v.began; d <= objective {
-		v.bucket.answer(v.bound)
+	p.release(v, s, result.Succeeded)
+	if d := p.schedule.Now() - v.arrivedAt; d <= latencyObjective {
+		v.window.countTimely(v.restricted)
 	} else {
-		v.bucket.late++
+		v.window.late++
 	}
-	for len(s.waiting) > 0 && s.running < slots {
+	for len(s.waiting) > 0 && s.running < slotsPerServer {
 		w := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		if p.time.Now()-w.began > timeLimit {
-			w.bucket.failed++
-			p.leave(w, s, result.Canceled)
+		if p.schedule.Now()-w.arrivedAt > requestTimeout {
+			w.window.failed++
+			p.release(w, s, result.Canceled)
 			continue
 		}
-		p.begin(w, s)
+		p.start(w, s)
 	}
 }
 
-func (p *Placementtrial) leave(v *visit, s *server, r result.Result) {
-	p.own[v.host][s.index]--
+func (p *Placementtrial) release(v *simulatedRequest, s *server, r result.Result) {
+	p.activeRequests[v.host][s.index]--
 	p.hosts[v.host].Release(s.name, v.request, r)
 }
 
-// strike begins or ends the trouble.
-func (p *Placementtrial) strike(on bool) {
+// setTrouble starts or ends the trouble.
+func (p *Placementtrial) setTrouble(on bool) {
 	for i, s := range p.servers {
 		switch {
 		case (p.Trouble == Lost || p.Trouble == Short) && i < 5:
@@ -341,11 +348,11 @@
 				s.crash()
 			}
 		case p.Trouble == Slow && i < 2:
-			s.slow = 1
+			s.slowdown = 1
 			if on {
-				s.slow = slowness
+				s.slowdown = slowServerFactor
 			}
 		}
 	}
-	p.tellHosts()
+	p.updateHosts()
 }
--- a/placementtrial/server.go
+++ b/placementtrial/server.go
@@ -6,52 +6,52 @@
 	"celeryreach.example/celeryreach/request"
 )
 
-// server is one backend server.
+// server is one simulated backend server.
 type server struct {
-	index   int
-	name    string
-	running int
-	waiting []*visit
-	known   []int // objects, the one worked on last at the end
-	slow    float64
-	down    bool
-	life    int
+	index    int
+	name     string
+	running  int
+	waiting  []*simulatedRequest
+	cached   []int // objects, the most recently used one last
+	slowdown float64
+	down     bool
+	restarts int
 }
 
-// visit is a request at a backend server.
-type visit struct {
-	request *request.Request
-	bound   bool
-	host    int
-	object  int
-	began   time.Duration
-	factor  float64
-	bucket  *bucketCount
+// simulatedRequest is one request of the simulation.
+type simulatedRequest struct {
+	request    *request.Request
+	restricted bool
+	host       int
+	object     int
+	arrivedAt  time.Duration
+	workFactor float64
+	window     *windowCounts
 }
 
-// crash loses all requests and all that was known.
+// crash drops all requests and cached objects of the server.
 func (s *server) crash() {
 	for _, v := range s.waiting {
-		v.bucket.failed++
+		v.window.failed++
 	}
-	s.running, s.waiting, s.known = 0, nil, nil
-	s.life++
+	s.running, s.waiting, s.cached = 0, nil, nil
+	s.restarts++
 }
 
-// knows reports whether the backend server has lately worked on an object, and
-// remembers that it does now.
-func (s *server) knows(object int) bool {
+// accessObject reports whether an object is cached, and caches it as the most recently
+// used one.
+func (s *server) accessObject(object int) bool {
 	ok := false
-	for i, o := range s.known {
+	for i, o := range s.cached {
 		if o == object {
-			s.known = append(s.known[:i], s.known[i+1:]...)
+			s.cached = append(s.cached[:i], s.cached[i+1:]...)
 			ok = true
 			break
 		}
 	}
-	s.known = append(s.known, object)
-	if len(s.known) > keeps {
-		s.known = s.known[1:]
+	s.cached = append(s.cached, object)
+	if len(s.cached) > cacheSize {
+		s.cached = s.cached[1:]
 	}
 	return ok
 }
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous is weighted rendezvous hashing: each key prefers the
-// candidates in an order of its own, and a candidate that goes takes only its
-// own keys with it.
+// Package rendezvous implements weighted rendezvous hashing: each key has its own order
+// of preference among the candidates, and removing a candidate moves only the keys that
+// were assigned to it.
 package rendezvous
 
 import (
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score returns how much a key prefers a candidate; the highest wins. Over many
-// keys each candidate wins in proportion to its weight.
+// Score returns the preference of a key for a candidate; the highest score wins. Over
+// many keys each candidate wins in proportion to its weight.
 func Score(key, candidate string, weight float64) float64 {
 	if weight <= 0 {
 		return 0
@@ -18,8 +18,8 @@
 	return -weight / math.Log(Uniform(key, candidate))
 }
 
-// Rank returns at which place candidate stands among all in the order that key
-// prefers, zero being the first.
+// Rank returns the position of candidate among all in the order of preference of key, 0
+// being the first. Weights are not considered.
 func Rank(key, candidate string, all []string) int {
 	s := Uniform(key, candidate)
 	n := 0
@@ -31,8 +31,8 @@
 	return n
 }
 
-// Uniform returns a number in 0..1, both excluded, that depends on nothing but
-// its arguments.
+// Uniform returns a number between 0 and 1, both excluded, that is a uniformly distributed
+// hash of its arguments.
 func Uniform(key, candidate string) float64 {
 	var d xxhash.Digest
 	_, _ = d.WriteString(key)
--- a/silence/silence.go
+++ b/silence/silence.go
@@ -1,5 +1,5 @@
-// Package silence tells when something may have happened that only the store tells of,
-// and no host has heard.
+// Package silence detects when the store may hold changes that no host has received,
+// because it hasn't answered for some time or has only just resumed answering.
 package silence
 
 import (
@@ -13,72 +13,75 @@
 	"celeryreach.example/celeryreach/deadline"
 )
 
-// lookEvery is how often the age of the store's last answer is looked at.
-const lookEvery = 100 * time.Millisecond
+// checkInterval is how often the age of the store's last answer is checked.
+const checkInterval = 100 * time.Millisecond
 
-// Silence follows the age of the store's last answer to any host.
+// Silence monitors the age of the store's last answer to any host.
 type Silence struct {
-	// Clock measures for how long something may go on unheard after a silence.
+	// Clock measures how long changes may be missing after a silence.
 	Clock clockwork.Clock
-	// Log receives one line when something may be unheard and one when nothing is.
+	// Log receives one line when changes may be missing and one when none are.
 	Log *log.Logger
-	// Age returns how long ago the store last answered a host that this one hears; ok
-	// is false if it never did.
+	// Age returns the time since the store last answered this host or one that it
+	// receives messages from; ok is false if the store never did.
 	Age func() (d time.Duration, ok bool)
-	// After is the age from which something may be unheard.
+	// After is the age from which changes may be missing.
 	After time.Duration
-	// Long is how long a silence has lasted of which that holds for Settle after its end.
+	// Long is the duration of a silence after which changes may be missing for another
+	// Settle.
 	Long, Settle time.Duration
-	// Entries returns the same age as Age, of what tells afterwards what was unheard.
-	// Until it is heard, and then for News, something still may be.
+	// Entries returns the age, as Age does, of the store's last answer on the entries
+	// that carry the missing changes. After a long silence, changes may also be missing
+	// until News after these entries are received.
 	Entries func() (d time.Duration, ok bool)
 	News    time.Duration
 
-	mu    sync.Mutex
-	age   time.Duration // when last looked at
-	ended time.Time     // when the last long silence did
-	until time.Time
-	told  bool
+	mu         sync.Mutex
+	lastAge    time.Duration // at the last check
+	silenceEnd time.Time     // end of the last long silence
+	staleUntil time.Time     // changes may be missing until then
+	logged     bool          // the last log line was that changes may be missing
 }
 
-// Run looks at the age until ctx ends, so that no silence is missed between requests.
+// Run checks the age until ctx ends, so that no silence between requests is missed.
 func (s *Silence) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		s.Unheard()
 		select {
 		case <-ctx.Done():
-		case <-s.Clock.After(lookEvery):
+		case <-s.Clock.After(checkInterval):
 		}
 	}
 	return nil
 }
 
-// Unheard reports whether something may be unheard that matters now.
+// Unheard reports whether the store may hold changes that no host has received.
 func (s *Silence) Unheard() bool {
 	d, ok := s.Age()
 	e, _ := s.Entries()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.Clock.Now()
-	if s.age+lookEvery >= s.Long && d < s.age {
-		s.ended, s.until = n, n.Add(s.Settle)
+	if s.lastAge+checkInterval >= s.Long && d < s.lastAge {
+		s.silenceEnd, s.staleUntil = n, n.Add(s.Settle)
 	}
-	s.age = d
-	if n.Before(s.until) && e >= n.Sub(s.ended) {
-		s.until = deadline.Later(s.until, n.Add(s.News))
+	s.lastAge = d
+	if n.Before(s.staleUntil) && e >= n.Sub(s.silenceEnd) {
+		s.staleUntil = deadline.Later(s.staleUntil, n.Add(s.News))
 	}
-	u := !ok || d >= s.After || n.Before(s.until)
-	s.tell(u && ok, d)
+	u := !ok || d >= s.After || n.Before(s.staleUntil)
+	s.logChange(u && ok, d)
 	return u
 }
 
-// tell logs a change. Before the store was ever heard there is none.
-func (s *Silence) tell(unheard bool, age time.Duration) {
+// logChange logs a change of the state. Before the first answer of the store nothing is
+// logged.
+func (s *Silence) logChange(stale bool, age time.Duration) {
 	switch {
-	case unheard && !s.told:
+	case stale && !s.logged:
 		s.Log.Warn("changes may be unheard", "StoreAge", age)
-	case !unheard && s.told:
+	case !stale && s.logged:
 		s.Log.Info("changes are heard", "StoreAge", age)
 	}
-	s.told = unheard
+	s.logged = stale
 }
--- a/silence/silence_test.go
+++ b/silence/silence_test.go
@@ -32,7 +32,7 @@
 		Entries: func() (time.Duration, bool) { return c.Since(read), !read.IsZero() },
 	}
 	for c.Since(b) < 20*time.Second {
-		c.Advance(lookEvery)
+		c.Advance(checkInterval)
 		if answers.in(c.Since(b)) {
 			heard = c.Now()
 		}
@@ -40,7 +40,7 @@
 			read = c.Now()
 		}
 		if s.Unheard() {
-			unheard += lookEvery
+			unheard += checkInterval
 		}
 	}
 	return unheard
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -1,19 +1,20 @@
-// Package warmup limits how many slots of a cold backend server are used.
+// Package warmup limits the number of slots in use on a cold backend server.
 package warmup
 
 import "time"
 
-// Warmup is the cold start of one backend server. A cold one with all its slots
-// taken answers everybody slowly, so it starts with one slot.
+// Warmup describes the cold start of one backend server. With all its slots taken, a cold
+// backend server answers every request slowly, so it starts with one slot.
 type Warmup struct {
-	// Began is when the backend server appeared or came back; zero for one
-	// that is taken to be warm.
+	// Began is when the backend server appeared or came back; zero if it is assumed
+	// to be warm.
 	Began time.Time
-	// For is how long it takes to reach full speed.
+	// For is how long the backend server takes to reach full speed.
 	For time.Duration
 }
 
-// Slots returns how many of n slots may be used at a time.
+// Slots returns how many of n slots may be used at time now. The number grows linearly
+// from one to n.
 func (w Warmup) Slots(n int, now time.Time) int {
 	t := max(0, now.Sub(w.Began))
 	if w.Began.IsZero() || t >= w.For || n <= 1 {
