--- a/coldpace/coldpace_test.go
+++ b/coldpace/coldpace_test.go
@@ -11,10 +11,10 @@
 	"celeryreach.example/celeryreach/coldpace"
 )
 
-// A backend server starts under full load, and all hosts have callers for it. Each
-// host sends as much as its part allows; no second holds more than the bound of
-// the backend server, though no host counts the requests of another.
-func TestPartsStayBelowTheBound(t *testing.T) {
+// A backend server starts under full load, and each host sends as much as its part allows.
+// The parts of all hosts together must not exceed the bound of the backend server, since no
+// host counts the requests of another.
+func TestPartsSumBelowBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rapid.Float64Range(1, 50).Draw(t, "rate")
 		n := rapid.IntRange(1, 40).Draw(t, "hosts")
@@ -32,8 +32,8 @@
 	})
 }
 
-// Requests come all the time; in any second no more than the part leave, wherever
-// the second begins.
+// Under continuous load, no more requests than the part may be allowed in any interval of a
+// second, wherever it begins.
 func TestAllowInAnySecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := rapid.IntRange(0, 5).Draw(t, "part")
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -15,11 +15,11 @@
 	"celeryreach.example/celeryreach/scripttest"
 )
 
-// doubtFor is how long after an outage entries may be missing.
-const doubtFor = 2 * time.Second
+// uncertainFor is how long after an outage of the store entries may be missing.
+const uncertainFor = 2 * time.Second
 
-// world is one host's list.
-type world struct {
+// fixture is the discovery of one host.
+type fixture struct {
 	clock     *clockwork.FakeClock
 	discovery *discovery.Discovery
 	usable    []string
@@ -27,40 +27,41 @@
 	revision  uint64
 }
 
-// The scripts tell what the store, or another host's copy of it, lists.
+// TestDiscovery runs the scripts in testdata with the lists that a host reads from the
+// store or from another host's copy. They have these commands:
 //
-//	list NAME...        a list that shows the store as it is
-//	doubt NAME...       a list from within two seconds of the store's return
-//	cold NAME DURATION  a list with one more entry, which is cold
-//	evacuate DOMAIN...  the domains that get nothing new
-//	after DURATION      time passes
-//	usable [NAME...]    which backend servers get new requests
-//	[!] iscold NAME     whether one of them is cold
+//	list NAME...        sets a list in which missing entries are gone
+//	doubt NAME...       sets a list from the two seconds after an outage of the store
+//	cold NAME DURATION  sets a list with one entry, which is cold
+//	evacuate DOMAIN...  sets the evacuated failure domains
+//	after DURATION      advances the clock
+//	usable [NAME...]    checks which backend servers get new requests
+//	[!] iscold NAME     checks whether one of them is cold
 func TestDiscovery(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(e *testscript.Env) error {
-			w := &world{clock: clockwork.NewFakeClock()}
+			w := &fixture{clock: clockwork.NewFakeClock()}
 			w.discovery = &discovery.Discovery{
 				Clock: w.clock, Log: log.New(io.Discard), WarmUp: func(string) time.Duration { return 3 * time.Second },
 				Changed: w.changed,
 			}
-			e.Values["world"] = w
+			e.Values["fixture"] = w
 			return nil
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
-			"list":     func(ts *testscript.TestScript, _ bool, a []string) { on(ts).list(a, 0) },
-			"doubt":    func(ts *testscript.TestScript, _ bool, a []string) { on(ts).list(a, doubtFor) },
+			"list":     func(ts *testscript.TestScript, _ bool, a []string) { fixtureOf(ts).list(a, 0) },
+			"doubt":    func(ts *testscript.TestScript, _ bool, a []string) { fixtureOf(ts).list(a, uncertainFor) },
 			"evacuate": evacuate, "after": after, "usable": usable, "cold": cold, "iscold": isCold,
 		},
 	})
 }
 
-func on(ts *testscript.TestScript) *world {
-	return ts.Value("world").(*world)
+func fixtureOf(ts *testscript.TestScript) *fixture {
+	return ts.Value("fixture").(*fixture)
 }
 
-func (w *world) changed(l []backend.Backend, until func(string) time.Time) {
+func (w *fixture) changed(l []backend.Backend, until func(string) time.Time) {
 	w.usable = nil
 	w.cold = make(map[string]bool)
 	for _, b := range l {
@@ -70,7 +71,7 @@
 	sort.Strings(w.usable)
 }
 
-func (w *world) list(names []string, doubt time.Duration) {
+func (w *fixture) list(names []string, doubt time.Duration) {
 	w.revision++
 	var l []backend.Backend
 	for _, n := range names {
@@ -80,7 +81,7 @@
 }
 
 func cold(ts *testscript.TestScript, _ bool, a []string) {
-	w := on(ts)
+	w := fixtureOf(ts)
 	d := scripttest.Scripttest{Script: ts}.Duration(a[1])
 	w.revision++
 	w.discovery.Backends([]backend.Backend{{
@@ -93,30 +94,31 @@
 	for _, d := range a {
 		z[d] = true
 	}
-	on(ts).discovery.Evacuated(z)
+	fixtureOf(ts).discovery.Evacuated(z)
 }
 
 func after(ts *testscript.TestScript, _ bool, a []string) {
-	w := on(ts)
+	w := fixtureOf(ts)
 	w.clock.Advance(scripttest.Scripttest{Script: ts}.Duration(a[0]))
 	w.discovery.Sweep()
 }
 
 func usable(ts *testscript.TestScript, _ bool, a []string) {
-	w := on(ts)
+	w := fixtureOf(ts)
 	if len(w.usable) != len(a) {
-		ts.Fatalf("usable are %v", w.usable)
+		ts.Fatalf("usable backend servers: %v", w.usable)
 	}
 	for i := range a {
 		if w.usable[i] != a[i] {
-			ts.Fatalf("usable are %v", w.usable)
+			ts.Fatalf("usable backend servers: %v", w.usable)
 		}
 	}
 }
 
-// isCold NAME checks that a backend server is cold, ! isCold that it is not.
+// isCold implements the command iscold: it checks that a backend server is cold, or with !
+// that it isn't.
 func isCold(ts *testscript.TestScript, neg bool, a []string) {
-	if on(ts).cold[a[0]] == neg {
-		ts.Fatalf("cold are %v", on(ts).cold)
+	if fixtureOf(ts).cold[a[0]] == neg {
+		ts.Fatalf("cold backend servers: %v", fixtureOf(ts).cold)
 	}
 }
--- a/healthcheck/healthcheck_test.go
+++ b/healthcheck/healthcheck_test.go
@@ -16,9 +16,9 @@
 	"celeryreach.example/celeryreach/loadreport"
 )
 
-// A probe must tell apart a backend server that is gone, one that complains, and
-// one that leaves, and must not believe a load that makes no sense: the balancer
-// acts differently on each.
+// Guards against a probe that confuses a backend server that is gone, one that is
+// unhealthy and one that drains, or that accepts an invalid load: the balancer acts
+// differently on each.
 func TestCheck(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -46,9 +46,9 @@
 	must.Eq(t, health.Health{}, Check(t.Context(), backend.Backend{Address: a}))
 }
 
-// One backend server took the connection and says nothing. Its probe ends at the
-// timeout as a complaint, and the others are probed meanwhile.
-func TestSilent(t *testing.T) {
+// One backend server accepts the connection and doesn't answer. Its probe must end at the
+// timeout as unhealthy and must not delay the probes of others.
+func TestProbeTimeout(t *testing.T) {
 	quiet := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/quiet" {
--- a/latency/latency_test.go
+++ b/latency/latency_test.go
@@ -7,11 +7,10 @@
 	"celeryreach.example/celeryreach/latency"
 )
 
-// Two hosts start in one process at the same moment, as in scripts and in the demo,
-// and both publish their latencies. The process must not end: expvar panics when a
-// name is published twice, and between a look and a publication another host may
-// have come.
-func TestHostsThatStartTogether(t *testing.T) {
+// Hosts that start at the same time in one process, as in scripts and in the demo, all
+// publish their latencies. The process must not crash: expvar panics when a name is
+// published twice, and another host may publish it between the check and the publication.
+func TestConcurrentPublish(t *testing.T) {
 	const hosts = 16
 	for i := range 200 {
 		s := make(chan struct{})
--- a/placement/move_test.go
+++ b/placement/move_test.go
@@ -18,12 +18,12 @@
 	"celeryreach.example/celeryreach/tried"
 )
 
-const movedObjects = 60
+const objectCount = 60
 
-// places returns where a calm host sends the requests of each object.
-func places(t *rapid.T, p *placement.Placement) map[string]backend.Backend {
+// placeAll returns the backend server that a host without load chooses for each object.
+func placeAll(t *rapid.T, p *placement.Placement) map[string]backend.Backend {
 	m := make(map[string]backend.Backend)
-	for i := range movedObjects {
+	for i := range objectCount {
 		r := &request.Request{
 			ID: fmt.Sprint(i), Object: fmt.Sprint("object-", i), Route: "view", Priority: 2,
 			Service: service.Service{Name: "listings"}, Tried: new(tried.Tried),
@@ -36,11 +36,10 @@
 	return m
 }
 
-// Backend servers of three regions leave and join, one at a time, while all is calm.
-// One that leaves takes its own objects with it and moves no other, and one that
-// joins gets objects from others and moves none between them. So no more callers
-// change the region that serves them than the change itself makes necessary.
-func TestOneBackendServerMovesItsOwnObjects(t *testing.T) {
+// Guards against objects that move without need, and with them callers to another region,
+// when one backend server leaves or joins without load. Only the objects of a backend
+// server that leaves may move, and objects may move only to one that joins.
+func TestServerChangeMovesOnlyItsObjects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &placement.Placement{
 			Clock: clockwork.NewFakeClock(), Region: "region-0", Far: 0.15,
@@ -56,19 +55,19 @@
 		}
 		warm := func(string) time.Time { return time.Time{} }
 		p.Set(l, warm)
-		before := places(t, p)
+		before := placeAll(t, p)
 		i := rapid.IntRange(0, len(l)-1).Draw(t, "leaves")
 		gone := l[i]
 		rest := append(append([]backend.Backend{}, l[:i]...), l[i+1:]...)
 		p.Set(rest, warm)
-		without := places(t, p)
+		without := placeAll(t, p)
 		for o, b := range before {
 			if b.Name != gone.Name {
 				must.EqOp(t, b.Name, without[o].Name)
 			}
 		}
 		p.Set(l, warm)
-		for o, b := range places(t, p) {
+		for o, b := range placeAll(t, p) {
 			if b.Name != gone.Name {
 				must.EqOp(t, without[o].Name, b.Name)
 			}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -20,42 +20,44 @@
 	"celeryreach.example/celeryreach/tried"
 )
 
-// world is one host in lagos that places requests.
-type world struct {
+// fixture is one host in region lagos that places requests.
+type fixture struct {
 	clock     *clockwork.FakeClock
 	placement *placement.Placement
-	cold      map[string]time.Time
+	coldUntil map[string]time.Time
 	requests  map[string]*request.Request
-	places    map[string]string
-	count     int
+	placedAt  map[string]string
+	filled    int
 }
 
-// The scripts place requests of one service; a backend server has two slots if
-// nothing else is said.
+// TestPlacement runs the scripts in testdata, which place requests of one service. They
+// have these commands:
 //
-//	servers NAME[:SLOTS][@REGION]... the backend servers; lagos if no region is named
-//	cold NAME DURATION               before servers: it is cold
-//	[!] take ID OBJECT PRIORITY [homes=REGION] [not=NAME]   places a request; ! it must not find a place
-//	at ID NAME                       where it is; [!] same ID OTHER
-//	fill OBJECT COUNT                requests that stay
-//	end ID RESULT                    Succeeded, Shed, Failed, Refused, Canceled
-//	deny ID DURATION                 there is no permit to send it where it is
-//	again ID DURATION                in which time it may be placed
-//	report NAME RUNNING WAITING      what a backend server says of itself
-//	after DURATION
+//	servers NAME[:SLOTS][@REGION]... sets the backend servers; by default with 2 slots in lagos
+//	cold NAME DURATION               makes a backend server cold as of the next servers
+//	[!] take ID OBJECT PRIORITY [homes=REGION] [not=NAME]
+//	                                 places a request; with ! checks that it finds no backend server
+//	[!] at ID NAME                   checks the backend server of a request
+//	[!] same ID OTHER                checks that two requests are at the same backend server
+//	fill OBJECT COUNT                places requests and keeps them active
+//	end ID RESULT                    releases a request: Succeeded, Shed, Failed, Refused, Canceled
+//	deny ID DURATION                 denies a request the permit for its backend server
+//	again ID DURATION                checks the time until a request may be placed
+//	report NAME RUNNING WAITING      reports the load of a backend server
+//	after DURATION                   advances the clock
 func TestPlacement(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(e *testscript.Env) error {
-			w := &world{
-				clock: clockwork.NewFakeClock(), cold: make(map[string]time.Time),
-				requests: make(map[string]*request.Request), places: make(map[string]string),
+			w := &fixture{
+				clock: clockwork.NewFakeClock(), coldUntil: make(map[string]time.Time),
+				requests: make(map[string]*request.Request), placedAt: make(map[string]string),
 			}
 			w.placement = &placement.Placement{
 				Clock: w.clock, Region: "lagos", Far: 0.15, Rate: func(string) (float64, time.Duration) { return 1, 3 * time.Second },
 				Pace: &coldpace.Coldpace{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 1.5, Slack: 1},
 			}
-			e.Values["world"] = w
+			e.Values["fixture"] = w
 			return nil
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
@@ -65,12 +67,12 @@
 	})
 }
 
-func on(ts *testscript.TestScript) *world {
-	return ts.Value("world").(*world)
+func fixtureOf(ts *testscript.TestScript) *fixture {
+	return ts.Value("fixture").(*fixture)
 }
 
 func servers(ts *testscript.TestScript, _ bool, a []string) {
-	w := on(ts)
+	w := fixtureOf(ts)
 	var l []backend.Backend
 	for _, v := range a {
 		n, r, ok := strings.Cut(v, "@")
@@ -85,16 +87,16 @@
 			Name: n, Service: "listings", Region: r, Slots: scripttest.Scripttest{Script: ts}.Number(c),
 		})
 	}
-	w.placement.Set(l, func(n string) time.Time { return w.cold[n] })
+	w.placement.Set(l, func(n string) time.Time { return w.coldUntil[n] })
 }
 
 func cold(ts *testscript.TestScript, _ bool, a []string) {
-	w := on(ts)
-	w.cold[a[0]] = w.clock.Now().Add(scripttest.Scripttest{Script: ts}.Duration(a[1]))
+	w := fixtureOf(ts)
+	w.coldUntil[a[0]] = w.clock.Now().Add(scripttest.Scripttest{Script: ts}.Duration(a[1]))
 }
 
 func take(ts *testscript.TestScript, neg bool, a []string) {
-	w := on(ts)
+	w := fixtureOf(ts)
 	r := &request.Request{
 		ID: a[0], Object: a[1], Route: "view", Priority: scripttest.Scripttest{Script: ts}.Number(a[2]),
 		Service: service.Service{Name: "listings"}, Tried: new(tried.Tried),
@@ -109,22 +111,22 @@
 	}
 	b, ok, _ := w.placement.Take(r)
 	if ok == neg {
-		ts.Fatalf("%s is at %q", a[0], b.Name)
+		ts.Fatalf("request %s was placed at %q", a[0], b.Name)
 	}
-	w.requests[a[0]], w.places[a[0]] = r, b.Name
+	w.requests[a[0]], w.placedAt[a[0]] = r, b.Name
 }
 
 func at(ts *testscript.TestScript, neg bool, a []string) {
-	if w := on(ts); (w.places[a[0]] == a[1]) == neg {
-		ts.Fatalf("%s is at %s", a[0], w.places[a[0]])
+	if w := fixtureOf(ts); (w.placedAt[a[0]] == a[1]) == neg {
+		ts.Fatalf("request %s is at %s", a[0], w.placedAt[a[0]])
 	}
 }
 
 func same(ts *testscript.TestScript, neg bool, a []string) {
-	w := on(ts)
-	if (w.places[a[0]] == w.places[a[1]]) == neg {
+	w := fixtureOf(ts)
+	if (w.placedAt[a[0]] == w.placedAt[a[1]]) == neg {
 		var l []string
-		for k, v := range w.places {
+		for k, v := range w.placedAt {
 			l = append(l, k+" at "+v)
 		}
 		sort.Strings(l)
@@ -133,39 +135,39 @@
 }
 
 func fill(ts *testscript.TestScript, _ bool, a []string) {
-	w := on(ts)
+	w := fixtureOf(ts)
 	for range (scripttest.Scripttest{Script: ts}).Number(a[1]) {
-		w.count++
-		take(ts, false, []string{fmt.Sprint("fill-", w.count), a[0], "0"})
+		w.filled++
+		take(ts, false, []string{fmt.Sprint("fill-", w.filled), a[0], "0"})
 	}
 }
 
 func end(ts *testscript.TestScript, _ bool, a []string) {
-	w := on(ts)
+	w := fixtureOf(ts)
 	for _, r := range []result.Result{result.Succeeded, result.Shed, result.Failed, result.Refused, result.Canceled} {
 		if r.String() == a[1] {
-			w.placement.Release(w.places[a[0]], w.requests[a[0]], r)
+			w.placement.Release(w.placedAt[a[0]], w.requests[a[0]], r)
 		}
 	}
 }
 
 func deny(ts *testscript.TestScript, _ bool, a []string) {
-	w := on(ts)
-	w.placement.Deny(w.places[a[0]], w.requests[a[0]], scripttest.Scripttest{Script: ts}.Duration(a[1]))
+	w := fixtureOf(ts)
+	w.placement.Deny(w.placedAt[a[0]], w.requests[a[0]], scripttest.Scripttest{Script: ts}.Duration(a[1]))
 }
 
 func again(ts *testscript.TestScript, _ bool, a []string) {
-	w := on(ts)
+	w := fixtureOf(ts)
 	if d := w.placement.Again(w.requests[a[0]]); d != (scripttest.Scripttest{Script: ts}).Duration(a[1]) {
-		ts.Fatalf("in %s", d)
+		ts.Fatalf("may be placed in %s", d)
 	}
 }
 
 func report(ts *testscript.TestScript, _ bool, a []string) {
 	s := scripttest.Scripttest{Script: ts}
-	on(ts).placement.Report(a[0], s.Number(a[1]), s.Number(a[2]))
+	fixtureOf(ts).placement.Report(a[0], s.Number(a[1]), s.Number(a[2]))
 }
 
 func after(ts *testscript.TestScript, _ bool, a []string) {
-	on(ts).clock.Advance(scripttest.Scripttest{Script: ts}.Duration(a[0]))
+	fixtureOf(ts).clock.Advance(scripttest.Scripttest{Script: ts}.Duration(a[0]))
 }
--- a/placementtrial/placementtrial_test.go
+++ b/placementtrial/placementtrial_test.go
@@ -9,51 +9,51 @@
 	"celeryreach.example/celeryreach/placementtrial"
 )
 
-// gains replays a load against an earlier version or a baseline: by how much
-// more of all requests are answered in time during the trouble, at least.
-var gains = []struct {
+// minGains lists, for the same arrivals, the minimum difference between the current policy
+// and an earlier version or a baseline in the fraction of requests that are answered in time
+// during the trouble.
+var minGains = []struct {
 	trouble, baseline string
 	gain              float64
 }{
-	// Five of twelve backend servers go. Sent anywhere, requests meet backend
-	// servers that do not know their objects, take three times the work there,
-	// and keep all of them full for as long as the load lasts.
+	// Five of twelve backend servers go down. Requests that are sent to any of the
+	// others find their objects uncached, need three times the work, and keep all
+	// backend servers full as long as the load lasts.
 	{placementtrial.Lost, placementtrial.Anywhere, 0.25},
 	{placementtrial.Lost, placementtrial.Random, 0.25},
 	{placementtrial.Lost, placementtrial.Affinity, 0.30},
-	// Twice the callers come at once: twice as many as can be served in time
-	// by backend servers that know nothing, and as many as by those that do.
+	// The arrivals double at once. That is twice what can be served in time when no
+	// object is cached, and as much as can be served when all are.
 	{placementtrial.Burst, placementtrial.Anywhere, 0.40},
 	{placementtrial.Burst, placementtrial.LeastLoaded, 0.60},
 	{placementtrial.Burst, placementtrial.Affinity, 0.40},
-	// Two backend servers turn slow. What has to go elsewhere are their objects
-	// only.
+	// Two backend servers become slow. Only their objects have to move.
 	{placementtrial.Slow, placementtrial.Random, 0.15},
 	{placementtrial.Slow, placementtrial.Affinity, 0.20},
 	{placementtrial.Slow, placementtrial.Anywhere, -0.01},
-	// Nothing happens but the start.
+	// No trouble but the start.
 	{placementtrial.Calm, placementtrial.LeastLoaded, 0.04},
 	{placementtrial.Calm, placementtrial.Anywhere, -0.01},
 }
 
-func TestGains(t *testing.T) {
-	for _, g := range gains {
+func TestBetterThanBaselines(t *testing.T) {
+	for _, g := range minGains {
 		t.Run(g.trouble+" against "+g.baseline, func(t *testing.T) {
 			for _, s := range []uint64{1, 2, 3} {
 				p, b := timely(s, g.trouble, placementtrial.Product), timely(s, g.trouble, g.baseline)
-				t.Logf("seed %d: %.3f, before %.3f", s, p, b)
+				t.Logf("seed %d: %.3f, baseline %.3f", s, p, b)
 				must.GreaterEq(t, g.gain, p-b)
 			}
 		})
 	}
 }
 
-// Callers of an object come through the hosts of one region, so that each knows
-// where most of its objects are. Five of twelve backend servers are away at the
-// start, or go later: few slots are free to learn objects in. A request waits a
-// moment for the backend server that knows its object, and one that is new keeps no
-// line waiting. When twice the callers come, it makes little difference.
-func TestKnownObjectsFirst(t *testing.T) {
+// Requests for an object arrive at the hosts of one region, so that each host knows where
+// most of its objects are cached. Five of twelve backend servers are down from the start or
+// go down later, which leaves few free slots in which to cache objects. Queueing for the
+// backend server that has the object cached, and not queueing for others, must be better
+// than taking the first free slot. When the arrivals double, the difference is small.
+func TestCachedObjectsFirst(t *testing.T) {
 	for _, x := range []struct {
 		trouble string
 		gain    float64
@@ -61,7 +61,7 @@
 		var g float64
 		for _, s := range []uint64{1, 2, 3} {
 			p, b := regional(s, x.trouble, placementtrial.Product), regional(s, x.trouble, placementtrial.Eager)
-			t.Logf("%s, seed %d: %.3f, before %.3f", x.trouble, s, p, b)
+			t.Logf("%s, seed %d: %.3f, baseline %.3f", x.trouble, s, p, b)
 			g += p - b
 		}
 		must.GreaterEq(t, x.gain, g)
@@ -74,26 +74,27 @@
 	return p.Timely(0, 20*time.Second)
 }
 
-// A large account with callers everywhere may be served in one region only, and needs
-// nine tenths of it once its objects are known there. The other regions are half idle.
-// Free requests near that region must leave it to the account, or one in ten of the
-// account's answers is late all day. Each is to have nine of ten in time.
-func TestWhoIsBoundHasRoom(t *testing.T) {
+// A large account with callers everywhere may be served in one region only and needs nine
+// tenths of its capacity once the account's objects are cached there; the other regions are
+// half idle. Requests of other accounts must leave the region to this one, or one in ten of
+// its answers is late permanently. Nine of ten answers must be in time, of the account and
+// of all requests.
+func TestRestrictedAccountHasCapacity(t *testing.T) {
 	for _, s := range []uint64{0, 1, 2} {
 		p := &placementtrial.Placementtrial{
 			Seed: s, For: 20 * time.Second, Way: placementtrial.Product, Trouble: placementtrial.Bound, Regions: 3,
 		}
 		p.Run()
 		a, b := p.Timely(4*time.Second, 20*time.Second), p.BoundTimely(4*time.Second, 20*time.Second)
-		t.Logf("seed %d: %.3f of all, %.3f of those that are bound", s, a, b)
+		t.Logf("seed %d: %.3f of all, %.3f of the restricted account", s, a, b)
 		must.GreaterEq(t, 0.9, a)
 		must.GreaterEq(t, 0.9, b)
 	}
 }
 
-// When the trouble is over, the backend servers are soon as good as before: no
-// line of late work keeps them busy.
-func TestRecovers(t *testing.T) {
+// Guards against queues of late requests that keep the backend servers busy after the
+// trouble has ended.
+func TestRecovery(t *testing.T) {
 	for _, x := range []string{placementtrial.Slow, placementtrial.Burst, placementtrial.Lost} {
 		p := run(1, x, placementtrial.Product)
 		must.GreaterEq(t, 0.95, p.Timely(14*time.Second, 20*time.Second))
