--- a/backendlimit/backendlimit.go
+++ b/backendlimit/backendlimit.go
@@ -1,5 +1,6 @@
-// Package backendlimit holds the requests to backend servers in need to as many a
-// second as they take from all hosts together, by what they name in their answers.
+// Package backendlimit limits the rate of requests that all hosts together send to a
+// backend server to the rate that the server advertises in its responses when it is
+// overloaded.
 package backendlimit
 
 import (
@@ -15,50 +16,52 @@
 )
 
 const (
-	// divideEvery is how often the parts of a limit follow the list of hosts.
-	divideEvery = 500 * time.Millisecond
-	// forgetAfter is how long a limit is kept of which nothing is heard.
-	forgetAfter = 10 * time.Minute
-	// newsPause is between two calls of News: a limit may change with each answer.
-	newsPause = 100 * time.Millisecond
+	// refreshInterval is how often the list of hosts is read and the shares of a limit
+	// are recomputed.
+	refreshInterval = 500 * time.Millisecond
+	// retention is how long a limit without new observations is kept.
+	retention = 10 * time.Minute
+	// minNewsInterval is the minimum time between two calls of News, since a limit may
+	// change with each response.
+	minNewsInterval = 100 * time.Millisecond
 )
 
-// Backendlimit keeps the limits of backend servers, as their answers to this host and
-// to others tell them, and this host's part of each. The parts are fixed, as nobody can
-// count all hosts' requests in time, and hosts that are cut off from each other must
-// not send more together than hosts that are not.
+// Backendlimit holds the limits of backend servers, as observed in responses to this
+// host and to others, and this host's share of each. The shares are fixed, since the
+// requests of all hosts cannot be counted in time, and partitioned hosts together must
+// not send more than connected ones.
 type Backendlimit struct {
-	// Clock tells when an answer came.
+	// Clock is the time source of observations and buckets.
 	Clock clockwork.Clock
-	// Log receives one line for each limit that is named, changed or withdrawn, and
-	// for each value that is none.
+	// Log receives one line for each limit that is set, changed or withdrawn, and for
+	// each invalid value.
 	Log *log.Logger
 	// Self is the name of this host.
 	Self string
-	// Hosts returns all hosts that may send, this one included, or nobody before they
-	// are known.
+	// Hosts returns all hosts that may send requests, including this one, or none until
+	// they are known.
 	Hosts func() []member.Member
-	// Far is how much a host of another region than the backend server's gets of a
-	// limit, relative to one of the same region.
+	// Far is the weight of a host outside the backend server's region in the division
+	// of a limit, relative to a host in that region.
 	Far float64
-	// Overage, Slack and Window make the bound of a limit: the hosts together send at
+	// Overage, Slack and Window define the bound of a limit: all hosts together send at
 	// most limit x Window x Overage + Slack requests in any Window.
 	Overage, Slack float64
 	Window         time.Duration
-	// News is called when other hosts should hear of a limit at once.
+	// News is called when other hosts should be notified of a limit immediately.
 	News func()
 
-	limited atomic.Int64 // backend servers that have a limit
+	limited atomic.Int64 // number of backend servers with a limit
 
-	mu       sync.Mutex
-	limits   map[key]*limit
-	ignored  int
-	hurried  time.Time // when News was last called
-	hosts    []member.Member
-	followed time.Time // when hosts was found out
+	mu           sync.Mutex
+	limits       map[key]*limit
+	ignored      int
+	lastNews     time.Time // when News was last called
+	hosts        []member.Member
+	hostsUpdated time.Time // when hosts was last updated
 }
 
-// key names one process of a backend server: one that starts anew has no limit.
+// key identifies one process of a backend server. A restarted process has no limit.
 type key struct {
 	name    string
 	started int64
@@ -68,20 +71,22 @@
 	return key{name: b.Name, started: b.Started}
 }
 
-// Answered takes what an answer of a backend server has in the header of its limit, and
-// when its request went out. An answer without a value withdraws the limit if the request was
-// served: one that fails may be made by what does not know of limits.
+// Answered processes the limit header of a response from a backend server to a request
+// sent at the given time. A response without a value withdraws the limit only if the
+// request was served: a failure may come from a component that does not implement
+// limits.
 func (l *Backendlimit) Answered(b backend.Backend, sent time.Time, values []string, served bool) {
 	if len(values) == 0 && !served {
 		return
 	}
-	if l.answered(b, sent, values) {
+	if l.update(b, sent, values) {
 		l.News()
 	}
 }
 
-// answered reports whether other hosts should hear of it at once.
-func (l *Backendlimit) answered(b backend.Backend, sent time.Time, values []string) bool {
+// update records a response and reports whether other hosts should be notified
+// immediately.
+func (l *Backendlimit) update(b backend.Backend, sent time.Time, values []string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.limits[keyOf(b)]
@@ -93,31 +98,31 @@
 	}
 	p, ok := parse(values)
 	if !ok {
-		l.ignore(b, m, values)
+		l.countIgnored(b, m, values)
 		return false
 	}
 	n := l.Clock.Now()
-	w := word{perSecond: p, asked: sent, answered: n}
-	if w.after(m.own) {
+	w := observation{perSecond: p, sent: sent, received: n}
+	if w.supersedes(m.own) {
 		m.own = w
 	}
-	if !l.take(b.Name, m, w, "") || n.Sub(l.hurried) < newsPause {
+	if !l.apply(b.Name, m, w, "") || n.Sub(l.lastNews) < minNewsInterval {
 		return false
 	}
-	l.hurried = n
+	l.lastNews = n
 	return true
 }
 
-// Allow reports whether a backend server may get a request of this host now.
+// Allow reports whether this host may send a request to a backend server now.
 func (l *Backendlimit) Allow(b backend.Backend) bool {
 	if l.limited.Load() == 0 {
 		return true
 	}
-	l.follow()
+	l.refreshHosts()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.limits[keyOf(b)]
-	if m == nil || m.word.perSecond == none {
+	if m == nil || m.current.perSecond == unlimited {
 		return true
 	}
 	n := l.Clock.Now()
@@ -125,47 +130,47 @@
 	return m.allows(n)
 }
 
-// Spend counts a request that a backend server gets.
+// Spend counts a request sent to a backend server.
 func (l *Backendlimit) Spend(b backend.Backend) {
 	if l.limited.Load() == 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if m := l.limits[keyOf(b)]; m != nil && m.word.perSecond < none {
+	if m := l.limits[keyOf(b)]; m != nil && m.current.perSecond < unlimited {
 		m.spend(l.Clock.Now())
 	}
 }
 
-// Until returns in which time a backend server may get a request of this host, as of
-// the last Allow.
+// Until returns the time until this host may send a request to a backend server, as of
+// the last call of Allow.
 func (l *Backendlimit) Until(b backend.Backend) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if m := l.limits[keyOf(b)]; m != nil && m.word.perSecond < none {
+	if m := l.limits[keyOf(b)]; m != nil && m.current.perSecond < unlimited {
 		return m.until(l.Clock.Now())
 	}
 	return 0
 }
 
-// Limited returns how many backend servers have a limit now.
+// Limited returns how many backend servers currently have a limit.
 func (l *Backendlimit) Limited() int {
 	return int(l.limited.Load())
 }
 
-// Ignored returns how many answers had a value that is no limit.
+// Ignored returns how many responses had an invalid limit.
 func (l *Backendlimit) Ignored() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ignored
 }
 
-// follow finds out which hosts there are. It is called without the lock: Hosts takes
-// locks of its own.
-func (l *Backendlimit) follow() {
+// refreshHosts updates the list of hosts. The caller must not hold the lock, since
+// Hosts takes locks of its own.
+func (l *Backendlimit) refreshHosts() {
 	n := l.Clock.Now()
 	l.mu.Lock()
-	f := n.Sub(l.followed) < divideEvery
+	f := n.Sub(l.hostsUpdated) < refreshInterval
 	l.mu.Unlock()
 	if f {
 		return
@@ -173,46 +178,47 @@
 	h := l.Hosts()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hosts, l.followed = h, n
+	l.hosts, l.hostsUpdated = h, n
 }
 
-// add returns a new limit.
+// add creates the state of a backend server, without a limit.
 func (l *Backendlimit) add(k key) *limit {
 	if l.limits == nil {
 		l.limits = make(map[key]*limit)
 	}
-	m := &limit{word: word{perSecond: none}, own: word{perSecond: none}, logged: none}
+	m := &limit{current: observation{perSecond: unlimited}, own: observation{perSecond: unlimited}, loggedRate: unlimited}
 	l.limits[k] = m
 	return m
 }
 
-// forget drops limits of which nothing was heard for long: those of backend servers that
+// removeStale removes limits without recent observations, those of backend servers that
 // are gone.
-func (l *Backendlimit) forget(now time.Time) {
+func (l *Backendlimit) removeStale(now time.Time) {
 	for k, m := range l.limits {
-		if now.Sub(m.word.answered) > forgetAfter {
-			l.count(m.word.perSecond, none)
+		if now.Sub(m.current.received) > retention {
+			l.countLimited(m.current.perSecond, unlimited)
 			delete(l.limits, k)
 		}
 	}
 }
 
-// take believes a word if it is newer, and reports whether it changes much.
-func (l *Backendlimit) take(backend string, m *limit, w word, from string) bool {
-	if !w.after(m.word) {
+// apply accepts an observation that supersedes the current one, and reports whether the
+// limit changed enough to be logged.
+func (l *Backendlimit) apply(backend string, m *limit, w observation, from string) bool {
+	if !w.supersedes(m.current) {
 		return false
 	}
-	l.count(m.word.perSecond, w.perSecond)
-	m.believe(w)
-	return l.tell(backend, m, from)
+	l.countLimited(m.current.perSecond, w.perSecond)
+	m.set(w)
+	return l.logChange(backend, m, from)
 }
 
-// count keeps the number of backend servers with a limit when one changes.
-func (l *Backendlimit) count(before, now float64) {
+// countLimited updates the number of backend servers with a limit when one changes.
+func (l *Backendlimit) countLimited(before, now float64) {
 	switch {
-	case before == none && now < none:
+	case before == unlimited && now < unlimited:
 		l.limited.Add(1)
-	case before < none && now == none:
+	case before < unlimited && now == unlimited:
 		l.limited.Add(-1)
 	}
 }
--- a/backendlimit/log.go
+++ b/backendlimit/log.go
@@ -7,36 +7,37 @@
 	"celeryreach.example/celeryreach/backend"
 )
 
-// loggedChange is the part of a limit by which it changes before that is logged: one
-// that follows the load changes with each answer.
-const loggedChange = 0.1
+// minLoggedChange is the minimum relative change of a limit that is logged. A limit
+// that follows the load changes with each response.
+const minLoggedChange = 0.1
 
-// tell logs a limit that is named, withdrawn or changed, and reports whether it did.
-func (l *Backendlimit) tell(backend string, m *limit, from string) bool {
-	p := m.word.perSecond
-	if p == m.logged || math.Abs(p-m.logged) < loggedChange*m.logged {
+// logChange logs a limit that was set, changed or withdrawn, and reports whether it
+// did.
+func (l *Backendlimit) logChange(backend string, m *limit, from string) bool {
+	p := m.current.perSecond
+	if p == m.loggedRate || math.Abs(p-m.loggedRate) < minLoggedChange*m.loggedRate {
 		return false
 	}
-	f := []any{"Backend", backend, "Before", m.logged}
+	f := []any{"Backend", backend, "Before", m.loggedRate}
 	if from != "" {
 		f = append(f, "ToldBy", from)
 	}
-	if p == none {
+	if p == unlimited {
 		l.Log.Info("backend server limit withdrawn", f...)
 	} else {
 		l.Log.Warn("backend server limited", append(f, "PerSecond", p)...)
 	}
-	m.logged = p
+	m.loggedRate = p
 	return true
 }
 
-// ignore counts a value that is no limit. The same one again is not logged.
-func (l *Backendlimit) ignore(b backend.Backend, m *limit, values []string) {
+// countIgnored counts an invalid value, and logs it unless it repeats the last one.
+func (l *Backendlimit) countIgnored(b backend.Backend, m *limit, values []string) {
 	l.ignored++
 	s := strings.Join(values, ", ")
-	if s == m.ignored {
+	if s == m.ignoredValue {
 		return
 	}
-	m.ignored = s
+	m.ignoredValue = s
 	l.Log.Warn("backend server limit ignored", "Backend", b.Name, "Service", b.Service, "Value", s)
 }
--- a/backendlimit/word_test.go
+++ b/backendlimit/observation_test.go
@@ -16,19 +16,19 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// An answer that was on its way when a limit was named withdraws it, or one that was
-// given after its end does not.
-func TestAnswersThatOverlap(t *testing.T) {
+// A response that was in transit when a limit was set must not withdraw it, and one
+// that was sent after the end of the limit must.
+func TestOverlappingResponses(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(0, 0).Add(time.Duration(s * float64(time.Second))) }
-	limited := word{perSecond: 4, asked: at(1), answered: at(2)}
+	limited := observation{perSecond: 4, sent: at(1), received: at(2)}
 	for _, v := range []struct {
 		name            string
 		perSecond       float64
 		asked, answered float64
 		after           bool
 	}{
-		{"none, asked before the limit came in", none, 1.5, 2.5, false},
-		{"none, asked after the limit came in", none, 2.1, 2.5, true},
+		{"none, asked before the limit came in", unlimited, 1.5, 2.5, false},
+		{"none, asked after the limit came in", unlimited, 2.1, 2.5, true},
 		{"a higher one, asked before", 9, 1.5, 2.5, false},
 		{"a higher one, asked after", 9, 2.1, 2.2, true},
 		{"a lower one, asked before", 2, 1.5, 2.5, true},
@@ -37,13 +37,14 @@
 		{"the same again", 4, 1.5, 2.5, true},
 		{"the same, older", 4, 1.5, 1.9, false},
 	} {
-		w := word{perSecond: v.perSecond, asked: at(v.asked), answered: at(v.answered)}
-		must.EqOp(t, v.after, w.after(limited), must.Sprint(v.name))
+		w := observation{perSecond: v.perSecond, sent: at(v.asked), received: at(v.answered)}
+		must.EqOp(t, v.after, w.supersedes(limited), must.Sprint(v.name))
 	}
 }
 
-// Hosts that pass on what they heard keep a limit alive that was withdrawn.
-func TestOnlyOwnAnswersAreTold(t *testing.T) {
+// If hosts passed on limits received from others, a limit that was withdrawn would stay
+// in force.
+func TestOnlyOwnObservationsAreReported(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	b := backend.Backend{Name: "c1", Started: 3}
 	host := func(name string) *Backendlimit {
@@ -63,16 +64,16 @@
 	must.EqOp(t, 0, x.Limited())
 	y.Hear("a", x.Tell())
 	must.EqOp(t, 0, y.Limited())
-	c.Advance(2 * tellFor)
+	c.Advance(2 * reportFor)
 	must.Len(t, 0, x.Tell())
 }
 
-// A backend server that is gone counts as limited for ever, or another host's word that is
-// no limit holds requests back.
-func TestLimitIsForgotten(t *testing.T) {
+// A backend server that is gone must not count as limited forever, and an invalid limit
+// from another host must not hold requests back.
+func TestStaleLimitIsRemoved(t *testing.T) {
 	f := newFleet(1, 1)
-	f.name("0.5")
-	f.clock.Advance(forgetAfter + time.Second)
+	f.announce("0.5")
+	f.clock.Advance(retention + time.Second)
 	f.hosts[0].Tell()
 	must.EqOp(t, 0, f.hosts[0].Limited())
 	must.MapEmpty(t, f.hosts[0].limits)
@@ -80,11 +81,11 @@
 	must.EqOp(t, 0, f.hosts[0].Limited())
 }
 
-// A request that was not served, answered without a limit, withdraws the limit, or a
-// backend server that starts anew under its name keeps it.
-func TestFailureWithdrawsNothing(t *testing.T) {
+// A response without a limit to a request that was not served must not withdraw the
+// limit, and a restarted backend server of the same name must not keep it.
+func TestFailureDoesNotWithdrawLimit(t *testing.T) {
 	f := newFleet(1, 1)
-	f.name("0.5")
+	f.announce("0.5")
 	f.hosts[0].Answered(f.backend, f.clock.Now(), nil, false)
 	must.EqOp(t, 1, f.hosts[0].Limited())
 	must.False(t, f.hosts[0].Allow(f.backend))
--- a/backendlimit/parse_test.go
+++ b/backendlimit/parse_test.go
@@ -6,14 +6,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// A header that holds no limit sets one, or takes one away.
+// An invalid header must neither set nor withdraw a limit.
 func TestParse(t *testing.T) {
 	for _, v := range []struct {
 		values    []string
 		perSecond float64
 		ok        bool
 	}{
-		{nil, none, true},
+		{nil, unlimited, true},
 		{[]string{"4.5"}, 4.5, true},
 		{[]string{" 12 "}, 12, true},
 		{[]string{"0"}, 0, true},
--- a/backendlimit/part.go
+++ b/backendlimit/part.go
@@ -12,72 +12,76 @@
 )
 
 const (
-	// safety is the part of the bound that is divided: hosts disagree for a moment on
-	// a limit that changes and on how many they are, and requests take different times
-	// to arrive.
-	safety = 0.85
-	// least is the limit that is divided of a lower one, in requests a second. Without
-	// any request nobody would hear that a limit of zero was withdrawn.
-	least = 0.25
-	// quiet is the time between the turns of two hosts without a part, and turn how long
-	// one lasts. In its turn a host may send a request to hear whether the limit holds, if
-	// nobody has told it. No Window holds two turns.
-	quiet = 5 * time.Second
-	turn  = time.Second
-	// spare of the bound is left to them, for hosts whose turns are not quite in step.
-	spare = 1
+	// safetyFactor is the fraction of the bound that is divided. Hosts briefly disagree
+	// on a limit that changes and on the number of hosts, and requests take different
+	// times to arrive.
+	safetyFactor = 0.85
+	// minDividedRate is the minimum rate that is divided, in requests per second, also
+	// if the limit is lower. Without any requests no host would observe that a limit of
+	// zero was withdrawn.
+	minDividedRate = 0.25
+	// probeInterval is the time between the probe turns of two hosts without a share,
+	// and probeDuration the duration of a turn. In its turn a host may send a request
+	// to check whether the limit still holds, unless it has a newer observation from
+	// another host. No Window contains two turns.
+	probeInterval = 5 * time.Second
+	probeDuration = time.Second
+	// probeReserve is the number of requests of the bound that is reserved for probes,
+	// since the turns of hosts are not exactly synchronized.
+	probeReserve = 1
 )
 
-// limit is what this host knows of the limit of one backend server.
+// limit is the state of the limit of one backend server, as known to this host.
 type limit struct {
-	word    word // what is believed, whoever was told
-	own     word // the newest answer to this host
-	bucket  bucket.Bucket
-	debt    int // requests that were sent without a token
-	divided time.Time
-	hosts   int       // how many hosts there are
-	holders int       // how many of them have a part
-	place   int       // how many come before this one
-	sent    time.Time // when this host last sent a request without a part
-	logged  float64   // the limit of the last line in the log
-	ignored string    // the last value that was no limit
+	current      observation // the observation in force, of any host
+	own          observation // the newest observation of this host
+	bucket       bucket.Bucket
+	overdraft    int // requests sent without a token
+	dividedAt    time.Time
+	hosts        int       // number of hosts
+	holders      int       // number of hosts with a share
+	rank         int       // number of hosts before this one
+	lastSent     time.Time // when this host last sent a request
+	loggedRate   float64   // the limit that was last logged
+	ignoredValue string    // the last invalid value
 }
 
-// believe takes a word for true. Divide then fits the bucket to it.
-func (m *limit) believe(w word) {
-	if w.perSecond == none {
-		m.bucket, m.debt = bucket.Bucket{}, 0
+// set replaces the observation in force. The next call of divide updates the bucket.
+func (m *limit) set(w observation) {
+	if w.perSecond == unlimited {
+		m.bucket, m.overdraft = bucket.Bucket{}, 0
 	}
-	m.word = w
-	m.divided = time.Time{}
+	m.current = w
+	m.dividedAt = time.Time{}
 }
 
-// divide gives the bucket this host's part of the limit.
+// divide sets the bucket to this host's share of the limit.
 func (l *Backendlimit) divide(b backend.Backend, m *limit, now time.Time) {
-	if now.Sub(m.divided) < divideEvery {
+	if now.Sub(m.dividedAt) < refreshInterval {
 		return
 	}
-	m.divided = now
-	n, w := max(m.word.perSecond, least), l.Window.Seconds()
-	u := max(safety*(m.word.perSecond*w*l.Overage+l.Slack)-n*w, 1) // the burst of all hosts
-	h := order(l.hosts, b)
+	m.dividedAt = now
+	n, w := max(m.current.perSecond, minDividedRate), l.Window.Seconds()
+	u := max(safetyFactor*(m.current.perSecond*w*l.Overage+l.Slack)-n*w, 1) // the total burst of all hosts
+	h := holderOrder(l.hosts, b)
 	if len(h) > int(u) {
-		u = max(u-spare, 1)
+		u = max(u-probeReserve, 1)
 	}
-	m.place = max(slices.IndexFunc(h, func(v member.Member) bool { return v.Name == l.Self }), 0)
-	// Each holder may send one request at once, whatever its part is.
+	m.rank = max(slices.IndexFunc(h, func(v member.Member) bool { return v.Name == l.Self }), 0)
+	// Each holder may send one request immediately, however small its share is.
 	m.hosts, m.holders = len(h), min(len(h), int(u))
-	if m.place >= m.holders {
+	if m.rank >= m.holders {
 		m.bucket.Set(now, 0, 0)
 		return
 	}
-	s := l.share(h[:m.holders], m.place, b)
+	s := l.share(h[:m.holders], m.rank, b)
 	m.bucket.Set(now, n*s, 1+(u-float64(m.holders))*s)
 }
 
-// order returns the hosts in the order in which they get a part of a limit: those of
-// the region, from which most of the requests come, and others for each backend server.
-func order(hosts []member.Member, b backend.Backend) []member.Member {
+// holderOrder returns the hosts in the order in which they get a share of a limit.
+// Hosts in the backend server's region come first, since most of the requests come from
+// there. Otherwise the order differs between backend servers.
+func holderOrder(hosts []member.Member, b backend.Backend) []member.Member {
 	l := slices.Clone(hosts)
 	slices.SortFunc(l, func(x, y member.Member) int {
 		if (x.Region == b.Region) != (y.Region == b.Region) {
@@ -91,13 +95,13 @@
 	return l
 }
 
-// share returns which part of a limit one of its holders has.
-func (l *Backendlimit) share(holders []member.Member, place int, b backend.Backend) float64 {
+// share returns the fraction of a limit that one of its holders gets.
+func (l *Backendlimit) share(holders []member.Member, rank int, b backend.Backend) float64 {
 	t := 0.0
 	for _, h := range holders {
 		t += l.weight(h, b)
 	}
-	return l.weight(holders[place], b) / t
+	return l.weight(holders[rank], b) / t
 }
 
 func (l *Backendlimit) weight(h member.Member, b backend.Backend) float64 {
@@ -107,41 +111,41 @@
 	return l.Far
 }
 
-// allows reports whether one more request may be sent.
+// allows reports whether this host may send one more request now.
 func (m *limit) allows(now time.Time) bool {
 	m.bucket.Refill(now)
-	for m.debt > 0 && m.bucket.TakeMany(1) {
-		m.debt--
+	for m.overdraft > 0 && m.bucket.TakeMany(1) {
+		m.overdraft--
 	}
 	return m.until(now) <= 0
 }
 
 // spend counts a request.
 func (m *limit) spend(now time.Time) {
-	m.sent = now
-	if m.place < m.holders && !m.bucket.Take(now) {
-		m.debt++
+	m.lastSent = now
+	if m.rank < m.holders && !m.bucket.Take(now) {
+		m.overdraft++
 	}
 }
 
-// until is the time to the next request that may be sent.
+// until returns the time until this host may send the next request.
 func (m *limit) until(now time.Time) time.Duration {
-	if m.place < m.holders {
+	if m.rank < m.holders {
 		d, e, _ := m.bucket.Until()
-		return d + time.Duration(m.debt)*e
+		return d + time.Duration(m.overdraft)*e
 	}
-	return m.untilTurn(now)
+	return m.untilProbe(now)
 }
 
-// untilTurn is the time to this host's next turn, zero in it. The first turn of all is
-// after two silent ones.
-func (m *limit) untilTurn(now time.Time) time.Duration {
-	r := time.Duration(max(m.hosts-m.holders, 1)) * quiet // a round of turns
-	d := now.Sub(m.word.answered.Add(time.Duration(m.place-m.holders+2) * quiet))
+// untilProbe returns the time until this host's next probe turn, zero during the turn.
+// The first turn of all begins two probe intervals after the observation in force.
+func (m *limit) untilProbe(now time.Time) time.Duration {
+	r := time.Duration(max(m.hosts-m.holders, 1)) * probeInterval // a round of turns of all hosts without a share
+	d := now.Sub(m.current.received.Add(time.Duration(m.rank-m.holders+2) * probeInterval))
 	if d < 0 {
 		return -d
 	}
-	if d%r < turn && now.Sub(m.sent) >= turn {
+	if d%r < probeDuration && now.Sub(m.lastSent) >= probeDuration {
 		return 0
 	}
 	return r - d%r
--- a/backendlimit/part_test.go
+++ b/backendlimit/part_test.go
@@ -22,18 +22,19 @@
 	tick    = 20 * time.Millisecond
 )
 
-// fleet is hosts that were told the limit of one backend server, and their callers.
+// fleet simulates hosts that observe the limit of one backend server, and records what
+// they send.
 type fleet struct {
 	clock   *clockwork.FakeClock
 	backend backend.Backend
 	hosts   []*Backendlimit
 	sent    []time.Time
-	begun   time.Time
+	started time.Time
 }
 
 func newFleet(hosts, regions int) *fleet {
 	f := &fleet{clock: clockwork.NewFakeClock(), backend: backend.Backend{Name: "c1", Region: "region-0"}}
-	f.begun = f.clock.Now()
+	f.started = f.clock.Now()
 	var l []member.Member
 	for i := range hosts {
 		l = append(l, member.Member{Name: fmt.Sprint("host-", i), Region: fmt.Sprint("region-", i%regions)})
@@ -47,24 +48,24 @@
 	return f
 }
 
-// name tells all hosts a limit.
-func (f *fleet) name(value string) {
+// announce makes all hosts observe a limit.
+func (f *fleet) announce(value string) {
 	for _, h := range f.hosts {
 		h.Answered(f.backend, f.clock.Now(), []string{value}, true)
 	}
 	f.clock.Advance(tick)
 }
 
-// ask lets a host send as many requests as it may.
-func (f *fleet) ask(h *Backendlimit) {
+// sendAll lets a host send as many requests as it may.
+func (f *fleet) sendAll(h *Backendlimit) {
 	for h.Allow(f.backend) {
 		h.Spend(f.backend)
 		f.sent = append(f.sent, f.clock.Now())
 	}
 }
 
-// most returns the most requests that were sent in a window.
-func (f *fleet) most() int {
+// maxPerWindow returns the maximum number of requests sent in any window.
+func (f *fleet) maxPerWindow() int {
 	n, from := 0, 0
 	for i, t := range f.sent {
 		for t.Sub(f.sent[from]) >= window {
@@ -75,73 +76,74 @@
 	return n
 }
 
-// Hosts that do not hear each other send more together than a limit allows, whenever
-// their callers come.
-func TestSumOfParts(t *testing.T) {
+// Hosts that do not exchange observations must not send more together than a limit
+// allows, whenever their callers arrive.
+func TestSumOfShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.Float64Range(0, 40).Draw(t, "limit")
 		if rapid.Bool().Draw(t, "small") {
 			n = rapid.SampledFrom([]float64{0, 0.01, 0.25, 0.5, 1, 2}).Draw(t, "which")
 		}
 		f := newFleet(rapid.IntRange(1, 60).Draw(t, "hosts"), rapid.IntRange(1, 4).Draw(t, "regions"))
-		f.name(fmt.Sprint(n))
+		f.announce(fmt.Sprint(n))
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			f.clock.Advance(time.Duration(rapid.IntRange(0, 5000).Draw(t, "pause")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "all") {
 				for _, h := range f.hosts {
-					f.ask(h)
+					f.sendAll(h)
 				}
 				continue
 			}
-			f.ask(f.hosts[rapid.IntRange(0, len(f.hosts)-1).Draw(t, "host")])
+			f.sendAll(f.hosts[rapid.IntRange(0, len(f.hosts)-1).Draw(t, "host")])
 		}
-		must.LessEq(t, overage*n*window.Seconds()+slack, float64(f.most()), must.Sprint(f.most()))
+		must.LessEq(t, overage*n*window.Seconds()+slack, float64(f.maxPerWindow()), must.Sprint(f.maxPerWindow()))
 	})
 }
 
-// Callers come to all hosts at once after a while without any, and each host without a
-// part takes it for its turn to ask whether the limit holds.
-func TestHostsWithoutAPartTakeTurns(t *testing.T) {
+// Callers arrive at all hosts at once after a time without any. The hosts without a
+// share must not all use this moment as their turn to check whether the limit holds.
+func TestHostsWithoutShareTakeTurns(t *testing.T) {
 	for _, n := range []int{6, 12, 60} {
 		f := newFleet(n, 1)
-		f.name("0")
+		f.announce("0")
 		for range 400 {
 			f.clock.Advance(500 * time.Millisecond)
-			if f.clock.Since(f.begun)%(20*time.Second) < 2*time.Second {
+			if f.clock.Since(f.started)%(20*time.Second) < 2*time.Second {
 				for _, h := range f.hosts {
-					f.ask(h)
+					f.sendAll(h)
 				}
 			}
 		}
-		must.LessEq(t, slack, float64(f.most()), must.Sprintf("%d hosts", n))
+		must.LessEq(t, slack, float64(f.maxPerWindow()), must.Sprintf("%d hosts", n))
 	}
 }
 
-// A host that does not know the others yet takes all of a limit for itself.
-func TestNoPartBeforeHostsAreKnown(t *testing.T) {
+// A host that does not know the others yet must not use the full limit itself.
+func TestNoFullShareBeforeHostsAreKnown(t *testing.T) {
 	f := newFleet(1, 1)
 	f.hosts[0].Hosts = func() []member.Member { return nil }
-	f.name("20")
+	f.announce("20")
 	for range 60 {
 		f.clock.Advance(time.Second)
-		f.ask(f.hosts[0])
+		f.sendAll(f.hosts[0])
 	}
 	must.Between(t, 1, len(f.sent), 20)
 }
 
-// A limit is left unused though callers of its region ask for more.
+// A limit must not stay unused while callers in the backend server's region request
+// more.
 func TestLimitIsUsed(t *testing.T) {
 	for _, v := range []struct {
 		hosts, regions int
 		limit, least   float64
 	}{{1, 1, 4.5, 0.95}, {11, 3, 4.5, 0.7}, {11, 3, 1, 0.7}, {80, 3, 3, 0.95}} {
 		f := newFleet(v.hosts, v.regions)
-		f.name(fmt.Sprint(v.limit))
+		f.announce(fmt.Sprint(v.limit))
 		for range 100 * time.Second / tick {
 			f.clock.Advance(tick)
 			for i, h := range f.hosts {
 				if i%v.regions == 0 {
-					f.ask(h)
+					f.sendAll(h)
 				}
 			}
 		}
@@ -151,26 +153,27 @@
 	}
 }
 
-// A limit that wavers with the load leaves hosts without a token for ever.
-func TestWaveringLimit(t *testing.T) {
+// A limit that fluctuates with the load must not leave hosts without a token forever.
+func TestFluctuatingLimit(t *testing.T) {
 	f := newFleet(4, 1)
 	for i := range 1000 {
-		f.name([]string{"4.5", "4.4", "4.6", "4.3"}[i%4])
+		f.announce([]string{"4.5", "4.4", "4.6", "4.3"}[i%4])
 		f.clock.Advance(3 * tick)
 		for _, h := range f.hosts {
-			f.ask(h)
+			f.sendAll(h)
 		}
 	}
 	must.GreaterEq(t, 0.8*4.4*1000*4*tick.Seconds(), float64(len(f.sent)))
 }
 
-// A host without a part learns that a limit was withdrawn, though nobody tells it.
-func TestHostWithoutAPartAsks(t *testing.T) {
+// A host without a share must find out that a limit was withdrawn, also if no other
+// host reports it.
+func TestHostWithoutShareProbes(t *testing.T) {
 	f := newFleet(12, 1)
-	f.name("0")
+	f.announce("0")
 	var l []*Backendlimit
 	for _, h := range f.hosts {
-		if f.ask(h); h.limits[keyOf(f.backend)].place >= h.limits[keyOf(f.backend)].holders {
+		if f.sendAll(h); h.limits[keyOf(f.backend)].rank >= h.limits[keyOf(f.backend)].holders {
 			l = append(l, h)
 		}
 	}
@@ -180,7 +183,7 @@
 		f.clock.Advance(time.Second)
 		for i, h := range l {
 			n := len(f.sent)
-			if f.ask(h); len(f.sent) > n {
+			if f.sendAll(h); len(f.sent) > n {
 				asked[i] = true
 			}
 		}
--- a/backendlimit/news.go
+++ b/backendlimit/report.go
@@ -8,27 +8,27 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// tellFor is how long after an answer its word on a limit is told to others.
-const tellFor = 10 * time.Second
+// reportFor is how long after a response its limit is reported to other hosts.
+const reportFor = 10 * time.Second
 
-// Tell returns what backend servers lately told this host itself, for heartbeats. What
-// it heard from other hosts is not told: passed on, an old word would seem young for
-// ever.
+// Tell returns the limits that this host itself recently observed, for heartbeats.
+// Limits received from other hosts are left out: if passed on, an old observation would
+// always seem recent.
 func (l *Backendlimit) Tell() []*wire.BackendLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var r []*wire.BackendLimit
 	n := l.Clock.Now()
-	l.forget(n)
+	l.removeStale(n)
 	for k, m := range l.limits {
-		if m.own.answered.IsZero() || n.Sub(m.own.answered) > tellFor {
+		if m.own.received.IsZero() || n.Sub(m.own.received) > reportFor {
 			continue
 		}
 		v := &wire.BackendLimit{
 			Backend: k.name, Started: k.started,
-			AskedNanoseconds: int64(n.Sub(m.own.asked)), AnsweredNanoseconds: int64(n.Sub(m.own.answered)),
+			AskedNanoseconds: int64(n.Sub(m.own.sent)), AnsweredNanoseconds: int64(n.Sub(m.own.received)),
 		}
-		if m.own.perSecond < none {
+		if m.own.perSecond < unlimited {
 			v.PerSecond = proto.Float64(m.own.perSecond)
 		}
 		r = append(r, v)
@@ -36,7 +36,7 @@
 	return r
 }
 
-// Hear takes what another host was told.
+// Hear applies the limits that another host observed.
 func (l *Backendlimit) Hear(from string, v []*wire.BackendLimit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,17 +44,17 @@
 	for _, b := range v {
 		k := key{name: b.GetBackend(), started: b.GetStarted()}
 		m := l.limits[k]
-		if m == nil && b.PerSecond == nil || b.PerSecond != nil && !valid(b.GetPerSecond()) {
+		if m == nil && b.PerSecond == nil || b.PerSecond != nil && !validRate(b.GetPerSecond()) {
 			continue
 		}
 		if m == nil {
 			m = l.add(k)
 		}
-		w := word{perSecond: none, asked: ago(n, b.GetAskedNanoseconds()), answered: ago(n, b.GetAnsweredNanoseconds())}
+		w := observation{perSecond: unlimited, sent: ago(n, b.GetAskedNanoseconds()), received: ago(n, b.GetAnsweredNanoseconds())}
 		if b.PerSecond != nil {
 			w.perSecond = b.GetPerSecond()
 		}
-		l.take(k.name, m, w, from)
+		l.apply(k.name, m, w, from)
 	}
 }
 
--- a/borrower/borrower.go
+++ b/borrower/borrower.go
@@ -1,4 +1,4 @@
-// Package borrower carries tokens between hosts.
+// Package borrower transfers tokens between hosts.
 package borrower
 
 import (
@@ -16,78 +16,78 @@
 )
 
 const (
-	// pending is how many needs wait at most; what is beyond them is asked for
-	// again by later requests.
-	pending = 64
-	// workers is how many needs are met at a time. A host in another region
-	// answers after 110 ms, and requests of other accounts wait no longer than
-	// some 50 ms for tokens.
+	// queueSize is the maximum number of queued requests, and of queued loans. A
+	// request that does not fit is dropped, and later callers cause a new one.
+	queueSize = 64
+	// workers is the number of requests and loans that are processed concurrently. A
+	// host in another region answers after 110 ms, and requests of other accounts wait
+	// for tokens for at most about 50 ms.
 	workers = 8
-	// askTimeout bounds one question, a few times the way to the farthest
-	// region and back. What comes later is lost.
-	askTimeout = 500 * time.Millisecond
-	// lenders is how many hosts are asked for one need.
-	lenders = 3
+	// callTimeout bounds one call to another host. It is a few times the round-trip
+	// time to the farthest region. Tokens that arrive later are lost.
+	callTimeout = 500 * time.Millisecond
+	// maxLenders is the maximum number of hosts that are asked for one request.
+	maxLenders = 3
 )
 
-// Borrower asks other hosts for tokens, those of its own region first, and brings
-// tokens to those that asked this host.
+// Borrower borrows tokens from other hosts, preferably of its own region, and delivers
+// tokens to hosts that requested them.
 type Borrower struct {
-	// Clock bounds calls.
+	// Clock measures the time-outs of calls.
 	Clock clockwork.Clock
-	// Log receives one line for each host that gave tokens, and for those that
-	// could not be brought.
+	// Log receives one line for each host that lends tokens or does not answer, and for
+	// tokens that could not be delivered.
 	Log *log.Logger
-	// Self is this host.
+	// Self returns this host.
 	Self func() member.Member
 	// Hosts returns the other hosts that are alive.
 	Hosts func() []member.Member
-	// Borrow asks one host.
+	// Borrow requests tokens from one host.
 	Borrow func(ctx context.Context, address string, b *wire.BorrowRequest) (*wire.BorrowResponse, error)
-	// Bring takes tokens to one host.
+	// Bring delivers tokens to one host.
 	Bring func(ctx context.Context, address string, l *wire.Loan) error
-	// Received takes what was given.
+	// Received is called with the tokens that a host lent.
 	Received func(limit string, units int64)
-	// Asked is told when a need has been met as far as it can be.
+	// Asked is called when a request has been met as far as possible.
 	Asked func(limit string)
 
-	needs chan need
-	loans chan loan
+	requests chan tokenRequest
+	loans    chan loan
 }
 
-// need is what this host lacks.
-type need struct {
+// tokenRequest is a request for tokens that this host lacks.
+type tokenRequest struct {
 	limit   string
 	units   int64
 	urgent  int64
 	holders []string
 }
 
-// loan is what another host gets.
+// loan is tokens to be delivered to another host.
 type loan struct {
 	host, limit string
 	units       int64
 }
 
-// New returns a Borrower; its fields are set before Run.
+// New returns a Borrower. Its fields must be set before Run.
 func New() *Borrower {
-	return &Borrower{needs: make(chan need, pending), loans: make(chan loan, pending)}
+	return &Borrower{requests: make(chan tokenRequest, queueSize), loans: make(chan loan, queueSize)}
 }
 
-// Ask notes a need that hosts among holders can meet, with the number of units
-// that requests wait for. It reports false if there are too many needs, and never
-// blocks.
+// Ask queues a request for tokens of a limit, to be met by hosts among holders. Callers
+// wait for urgent of the units. It never blocks, and returns false if the queue is
+// full.
 func (b *Borrower) Ask(limit string, units, urgent int64, holders []string) bool {
 	select {
-	case b.needs <- need{limit: limit, units: units, urgent: urgent, holders: holders}:
+	case b.requests <- tokenRequest{limit: limit, units: units, urgent: urgent, holders: holders}:
 		return true
 	default:
 		return false
 	}
 }
 
-// Lend notes tokens for another host. It never blocks; tokens that cannot be
-// brought are lost.
+// Lend queues tokens for delivery to another host. It never blocks; tokens that cannot
+// be delivered are lost.
 func (b *Borrower) Lend(host, limit string, units int64) {
 	select {
 	case b.loans <- loan{host: host, limit: limit, units: units}:
@@ -95,7 +95,7 @@
 	}
 }
 
-// Run carries tokens until ctx ends.
+// Run processes queued requests and loans until ctx ends.
 func (b *Borrower) Run(ctx context.Context) error {
 	d := make(chan struct{}, workers)
 	for range workers {
@@ -113,28 +113,28 @@
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-b.needs:
-			b.meet(ctx, n)
+		case n := <-b.requests:
+			b.borrow(ctx, n)
 		case l := <-b.loans:
-			b.bring(ctx, l)
+			b.deliver(ctx, l)
 		}
 	}
 }
 
-func (b *Borrower) meet(ctx context.Context, n need) {
+func (b *Borrower) borrow(ctx context.Context, n tokenRequest) {
 	defer b.Asked(n.limit)
-	h := b.order(n.holders)
-	for i := 0; i < min(len(h), lenders) && n.units > 0; i++ {
-		u := b.ask(ctx, h[i], n)
+	h := b.selectLenders(n.holders)
+	for i := 0; i < min(len(h), maxLenders) && n.units > 0; i++ {
+		u := b.borrowFrom(ctx, h[i], n)
 		n.units -= u
 		n.urgent = max(n.urgent-u, 0)
 	}
 }
 
-// ask returns how many tokens a host gave. One that does not answer has given
-// nothing that is used.
-func (b *Borrower) ask(ctx context.Context, m member.Member, n need) int64 {
-	x, f := deadline.With(ctx, b.Clock, askTimeout)
+// borrowFrom returns how many tokens a host lent. If it does not answer, tokens that it
+// may have lent are not used.
+func (b *Borrower) borrowFrom(ctx context.Context, m member.Member, n tokenRequest) int64 {
+	x, f := deadline.With(ctx, b.Clock, callTimeout)
 	defer f()
 	t := b.Clock.Now()
 	r, err := b.Borrow(x, m.PeerAddress, &wire.BorrowRequest{
@@ -152,12 +152,12 @@
 	return u
 }
 
-func (b *Borrower) bring(ctx context.Context, l loan) {
+func (b *Borrower) deliver(ctx context.Context, l loan) {
 	for _, m := range b.Hosts() {
 		if m.Name != l.host {
 			continue
 		}
-		x, f := deadline.With(ctx, b.Clock, askTimeout)
+		x, f := deadline.With(ctx, b.Clock, callTimeout)
 		defer f()
 		err := b.Bring(x, m.PeerAddress, &wire.Loan{Limit: l.limit, Units: uint64(l.units), Lender: b.Self().Name})
 		if err != nil {
@@ -167,8 +167,9 @@
 	}
 }
 
-// order draws the hosts to ask: two of the own region, then any.
-func (b *Borrower) order(holders []string) []member.Member {
+// selectLenders returns the hosts to ask: first two of this host's region, then those
+// of other regions, then the rest, each group in random order.
+func (b *Borrower) selectLenders(holders []string) []member.Member {
 	var near, far []member.Member
 	for _, m := range b.Hosts() {
 		if !slices.Contains(holders, m.Name) {
@@ -182,6 +183,6 @@
 	}
 	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
 	rand.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
-	k := min(len(near), lenders-1)
+	k := min(len(near), maxLenders-1)
 	return append(append(near[:k:k], far...), near[k:]...)
 }
--- a/borrower/borrower_test.go
+++ b/borrower/borrower_test.go
@@ -18,20 +18,20 @@
 
 const unity = "unity"
 
-// world is one host and what it asks of the others.
-type world struct {
-	borrower *borrower.Borrower
-	mu       sync.Mutex
-	asked    []*wire.BorrowRequest
-	at       []string
-	received int64
-	brought  []*wire.Loan
-	done     chan string // an account for which all have been asked
-	gone     chan struct{}
+// fixture is a Borrower and a record of its calls to other hosts.
+type fixture struct {
+	borrower   *borrower.Borrower
+	mu         sync.Mutex
+	asked      []*wire.BorrowRequest
+	addresses  []string
+	received   int64
+	delivered  []*wire.Loan
+	done       chan string // accounts whose requests have ended
+	deliveries chan struct{}
 }
 
-func start(t *testing.T, hosts map[string]string, give func(address string) (uint64, error)) *world {
-	w := &world{done: make(chan string, 9), gone: make(chan struct{}, 9), borrower: borrower.New()}
+func start(t *testing.T, hosts map[string]string, give func(address string) (uint64, error)) *fixture {
+	w := &fixture{done: make(chan string, 9), deliveries: make(chan struct{}, 9), borrower: borrower.New()}
 	b := w.borrower
 	b.Clock, b.Log = clockwork.NewFakeClock(), log.New(io.Discard)
 	b.Self = func() member.Member { return member.Member{Name: "self", Region: "lagos"} }
@@ -46,15 +46,15 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.asked = append(w.asked, r)
-		w.at = append(w.at, a)
+		w.addresses = append(w.addresses, a)
 		u, err := give(a)
 		return &wire.BorrowResponse{Units: u}, err
 	}
 	b.Bring = func(_ context.Context, _ string, l *wire.Loan) error {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.brought = append(w.brought, l)
-		w.gone <- struct{}{}
+		w.delivered = append(w.delivered, l)
+		w.deliveries <- struct{}{}
 		return nil
 	}
 	b.Received = func(_ string, n int64) {
@@ -73,9 +73,9 @@
 	return w
 }
 
-// Two requests wait for tokens. One host does not answer, so it has given nothing;
-// the next one gives one token, and the last is asked for what is still missing.
-func TestAsksUntilTheNeedIsMet(t *testing.T) {
+// Two requests wait for tokens. The first host does not answer, so it has lent nothing;
+// the next one lends one token, and the last must be asked only for the remaining one.
+func TestAsksUntilRequestIsMet(t *testing.T) {
 	answers := []func() (uint64, error){
 		func() (uint64, error) { return 0, errors.New("no answer") },
 		func() (uint64, error) { return 1, nil },
@@ -89,34 +89,33 @@
 	must.True(t, w.borrower.Ask(unity, 2, 2, []string{"a", "b", "c"}))
 	must.EqOp(t, unity, <-w.done)
 	must.Len(t, 3, w.asked)
-	must.EqOp(t, "c", w.at[2])
+	must.EqOp(t, "c", w.addresses[2])
 	must.EqOp(t, 1, w.asked[2].GetUnits())
 	must.EqOp(t, 1, w.asked[2].GetUrgent())
 	must.EqOp(t, 2, w.received)
 }
 
-// Few hosts hold a part of the account's limits. Only they are asked: another one
-// cannot have any tokens, and its answer would only take time.
+// Few hosts hold a share of the account's limits. Only they must be asked: other hosts
+// cannot have tokens, and their answers would only take time.
 func TestAsksHoldersOnly(t *testing.T) {
 	w := start(t, map[string]string{"a": "lagos", "b": "lagos", "c": "abuja"}, func(string) (uint64, error) { return 0, nil })
 	must.True(t, w.borrower.Ask(unity, 1, 1, []string{"self", "c"}))
 	must.EqOp(t, unity, <-w.done)
-	must.Eq(t, []string{"c"}, w.at)
+	must.Eq(t, []string{"c"}, w.addresses)
 }
 
-// This host's bucket would run over, and another one asked in vain before. The
-// tokens are brought there; those for a host that is gone are lost.
-func TestBringsTokens(t *testing.T) {
+// Spare tokens are delivered to a host whose earlier request was not met. Tokens for a
+// host that is gone are lost.
+func TestDeliversTokens(t *testing.T) {
 	w := start(t, map[string]string{"a": "lagos"}, nil)
 	w.borrower.Lend("gone", unity, 1)
 	w.borrower.Lend("a", unity, 3)
-	<-w.gone
-	must.Len(t, 1, w.brought)
-	must.EqOp(t, 3, w.brought[0].GetUnits())
+	<-w.deliveries
+	must.Len(t, 1, w.delivered)
+	must.EqOp(t, 3, w.delivered[0].GetUnits())
 }
 
-// Needs pile up because nobody takes them. Asking reports it, and does not block
-// the request that needs a token.
+// If the queue is full, Ask must report it and not block the caller's request.
 func TestAskDoesNotBlock(t *testing.T) {
 	b := borrower.New()
 	for b.Ask(unity, 1, 1, nil) {
--- a/bucket/bucket.go
+++ b/bucket/bucket.go
@@ -1,4 +1,4 @@
-// Package bucket is a token bucket in exact integer arithmetic.
+// Package bucket implements a token bucket in exact integer arithmetic.
 package bucket
 
 import (
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// unit is one token. Tokens are counted in billionths, so that a rate in
-// tokens per second times a time in nanoseconds needs no division.
-const unit = int64(time.Second)
+// tokenUnit is one token. Tokens are counted in billionths, so that a rate in tokens
+// per second times a time in nanoseconds needs no division.
+const tokenUnit = int64(time.Second)
 
-// micro is the resolution of a rate: millionths of tokens per second.
-const micro = 1_000_000
+// rateUnit is a rate of one token per second. Rates have a resolution of a millionth of
+// that.
+const rateUnit = 1_000_000
 
-// Bucket admits at most Burst + Rate·t requests in any window t. It is not
-// safe for concurrent use; its owner serializes.
+// Bucket admits at most burst + rate·t requests in any period t. It is not safe for
+// concurrent use; its owner must serialize calls.
 type Bucket struct {
 	rate   int64 // millionths of tokens per second
 	burst  int64 // billionths of tokens
@@ -23,89 +24,89 @@
 	last   time.Time
 }
 
-// Set changes rate, in tokens per second, and burst, in tokens. Tokens above
-// the new burst are lost. A bucket starts empty.
+// Set changes the rate, in tokens per second, and the burst, in tokens. Tokens above
+// the new burst are lost. A new bucket is empty.
 func (b *Bucket) Set(now time.Time, rate, burst float64) {
 	b.refill(now)
-	b.rate = int64(rate * micro)
-	b.burst = int64(burst * float64(unit))
+	b.rate = int64(rate * rateUnit)
+	b.burst = int64(burst * float64(tokenUnit))
 	b.tokens = min(b.tokens, b.burst)
 }
 
-// Fill makes the bucket full. Only the holder of an unused limit may do so.
+// Fill fills the bucket. Only the holder of an unused limit may call it.
 func (b *Bucket) Fill() {
 	b.tokens = b.burst
 }
 
-// Limit changes the burst alone. Tokens above it are lost.
+// Limit changes only the burst. Tokens above it are lost.
 func (b *Bucket) Limit(burst float64) {
-	b.burst = int64(max(burst, 0) * float64(unit))
+	b.burst = int64(max(burst, 0) * float64(tokenUnit))
 	b.tokens = min(b.tokens, b.burst)
 }
 
-// Gain adds what rate makes in d. It is for owners whose rate changed at times
-// that only they know, in the place of the bucket's own refill.
+// Gain adds the tokens that rate makes in d. Owners whose rate changed at times that
+// only they know call it in place of Refill.
 func (b *Bucket) Gain(rate float64, d time.Duration) {
 	if d <= 0 || rate <= 0 {
 		return
 	}
-	g := min(product(int64(rate*micro), d), b.burst)
+	g := min(tokensMade(int64(rate*rateUnit), d), b.burst)
 	b.tokens = min(b.burst, b.tokens+g)
 }
 
-// TakeMany removes n tokens and reports whether there were so many. It does
-// not refill first.
+// TakeMany removes n tokens and reports whether that many were available. It does not
+// refill the bucket first.
 func (b *Bucket) TakeMany(n int64) bool {
-	if n > b.tokens/unit {
+	if n > b.tokens/tokenUnit {
 		return false
 	}
-	b.tokens -= n * unit
+	b.tokens -= n * tokenUnit
 	return true
 }
 
 // Tokens returns the number of tokens at the last refill.
 func (b *Bucket) Tokens() float64 {
-	return float64(b.tokens) / float64(unit)
+	return float64(b.tokens) / float64(tokenUnit)
 }
 
 // Capacity returns the burst, in tokens.
 func (b *Bucket) Capacity() float64 {
-	return float64(b.burst) / float64(unit)
+	return float64(b.burst) / float64(tokenUnit)
 }
 
-// Take removes one token and reports whether there was one.
+// Take refills the bucket, removes one token and reports whether one was available.
 func (b *Bucket) Take(now time.Time) bool {
 	b.refill(now)
-	if b.tokens < unit {
+	if b.tokens < tokenUnit {
 		return false
 	}
-	b.tokens -= unit
+	b.tokens -= tokenUnit
 	return true
 }
 
-// Until returns the time in which the rate makes the next token, as of the last
-// refill, and the time for each one after it. It reports false if it makes none.
+// Until returns the time until the rate makes the next token, as of the last refill,
+// and the time for each further token. It returns false if the rate makes none.
 func (b *Bucket) Until() (next, each time.Duration, ok bool) {
-	if b.rate <= 0 || b.burst < unit {
+	if b.rate <= 0 || b.burst < tokenUnit {
 		return 0, 0, false
 	}
-	t := float64(micro) / float64(b.rate)
-	return time.Duration(t * float64(max(unit-b.tokens, 0))), time.Duration(t * float64(unit)), true
+	t := float64(rateUnit) / float64(b.rate)
+	return time.Duration(t * float64(max(tokenUnit-b.tokens, 0))), time.Duration(t * float64(tokenUnit)), true
 }
 
-// Add adds n tokens as far as the burst allows.
+// Add adds n tokens, up to the burst.
 func (b *Bucket) Add(n int64) {
-	b.tokens = min(b.tokens+n*unit, b.burst)
+	b.tokens = min(b.tokens+n*tokenUnit, b.burst)
 }
 
-// Refill adds what the rate has made until now.
+// Refill adds the tokens that the rate has made until now.
 func (b *Bucket) Refill(now time.Time) {
 	b.refill(now)
 }
 
-// Return gives back the token of a request that did not run.
+// Return gives back the token of a request that was not executed.
 func (b *Bucket) Return() {
-	b.tokens = min(b.tokens+unit, b.burst)
+	b.tokens = min(b.tokens+tokenUnit, b.burst)
 }
 
 func (b *Bucket) refill(now time.Time) {
@@ -117,17 +118,17 @@
 	if b.rate == 0 || b.tokens >= b.burst {
 		return
 	}
-	g := min(product(b.rate, d), b.burst)
+	g := min(tokensMade(b.rate, d), b.burst)
 	b.tokens = min(b.burst, b.tokens+g)
 }
 
-// product returns rate, in millionths of tokens per second, times d, in
-// billionths of tokens, rounded down so that rounding never makes tokens.
-func product(rate int64, d time.Duration) int64 {
+// tokensMade returns rate, in millionths of tokens per second, times d, in billionths
+// of tokens. It rounds down, so that rounding never makes tokens.
+func tokensMade(rate int64, d time.Duration) int64 {
 	h, l := bits.Mul64(uint64(rate), uint64(d))
-	if h >= micro {
+	if h >= rateUnit {
 		return math.MaxInt64
 	}
-	q, _ := bits.Div64(h, l, micro)
+	q, _ := bits.Div64(h, l, rateUnit)
 	return int64(min(q, math.MaxInt64))
 }
--- a/loan/loan.go
+++ b/loan/loan.go
@@ -1,5 +1,5 @@
-// Package loan asks other hosts for tokens when this host's part of an
-// account's burst is used up and requests wait.
+// Package loan borrows tokens from other hosts when this host's share of an account's
+// burst is used up and requests wait.
 package loan
 
 import (
@@ -15,69 +15,72 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// Tries is how many lenders are asked, one after another.
+// Tries is the maximum number of lenders that are asked, one after another.
 const Tries = 3
 
 const (
-	// asksMost is how many asks may be under way; beyond it requests wait for
-	// their own refill.
-	asksMost = 16
-	// margin shortens the loan, as a divisor, for clocks of different speed.
-	margin = 50
-	// sameDomain and sameRegion prefer lenders whose answer comes in a
+	// maxConcurrent is the number of borrow requests in progress, and of those queued.
+	// Beyond it, requests wait for the refill of their own bucket.
+	maxConcurrent = 16
+	// marginDivisor gives the margin by which a loan is shortened, 1/marginDivisor of
+	// its duration, since clocks run at different speeds.
+	marginDivisor = 50
+	// sameDomainFactor and sameRegionFactor prefer lenders that answer within a
 	// millisecond to those behind a slow link.
-	sameDomain = 1.5
-	sameRegion = 1.2
+	sameDomainFactor = 1.5
+	sameRegionFactor = 1.2
 )
 
-// Loan is the borrowing side.
+// Loan borrows tokens from other hosts.
 type Loan struct {
-	// Clock measures the loans.
+	// Clock measures the duration of loans.
 	Clock clockwork.Clock
-	// For is how long a loan lasts.
+	// For is the duration of a loan.
 	For time.Duration
-	// Self names this host as the borrower.
+	// Self is the name of this host, which is sent as the borrower.
 	Self string
-	// Lenders returns the addresses of the hosts to ask for an account's
-	// tokens, the best first.
+	// Lenders returns the addresses of the hosts to borrow an account's tokens from,
+	// best first.
 	Lenders func(account string) []string
-	// Ask sends the request.
+	// Ask sends a borrow request to another host.
 	Ask func(ctx context.Context, address string, b *wire.BorrowRequest) (*wire.BorrowResponse, error)
-	// Received ends an ask: it takes the tokens, which end at until by Clock,
-	// or none.
+	// Received ends a borrow request. It takes the borrowed tokens, possibly none,
+	// which expire at until by Clock.
 	Received func(account string, asked, units uint64, until time.Time)
 
-	asks chan ask
+	requests chan request
 }
 
-type ask struct {
+// request is a queued call of Borrow.
+type request struct {
 	account string
 	units   uint64
 }
 
-// New returns a Loan that takes asks from now on.
+// New returns a Loan that queues borrow requests from now on.
 func New(c clockwork.Clock, d time.Duration) *Loan {
-	return &Loan{Clock: c, For: d, asks: make(chan ask, asksMost)}
+	return &Loan{Clock: c, For: d, requests: make(chan request, maxConcurrent)}
 }
 
-// Borrow starts to ask for tokens. It never blocks.
+// Borrow starts to borrow tokens. It never blocks.
 func (l *Loan) Borrow(account string, units uint64) {
 	select {
-	case l.asks <- ask{account: account, units: units}:
+	case l.requests <- request{account: account, units: units}:
 	default:
-		// An ask too many ends at once with nothing; its requests wait for
-		// their own refill. The caller may hold the lock that Received needs.
+		// The queue is full: the request ends immediately without tokens, and callers
+		// wait for the refill of their own bucket. The caller of Borrow may hold the
+		// lock that Received needs.
 		go l.Received(account, units, 0, time.Time{})
 	}
 }
 
-// Run asks until ctx ends.
+// Run sends borrow requests until ctx ends.
 func (l *Loan) Run(ctx context.Context) error {
 	d := make(chan struct{})
-	for range asksMost {
+	for range maxConcurrent {
 		go l.work(ctx, d)
 	}
-	for range asksMost {
+	for range maxConcurrent {
 		<-d
 	}
 	return nil
@@ -89,17 +92,17 @@
 		select {
 		case <-ctx.Done():
 			return
-		case a := <-l.asks:
-			l.ask(ctx, a)
+		case a := <-l.requests:
+			l.tryLenders(ctx, a)
 		}
 	}
 }
 
-// ask tries one lender after another.
-func (l *Loan) ask(ctx context.Context, a ask) {
+// tryLenders asks one lender after another, until one lends tokens.
+func (l *Loan) tryLenders(ctx context.Context, a request) {
 	p := l.Lenders(a.account)
 	for _, v := range p[:min(len(p), Tries)] {
-		u, t := l.once(ctx, v, a)
+		u, t := l.borrowFrom(ctx, v, a)
 		if u > 0 {
 			l.Received(a.account, a.units, u, t)
 			return
@@ -108,7 +111,7 @@
 	l.Received(a.account, a.units, 0, time.Time{})
 }
 
-func (l *Loan) once(ctx context.Context, address string, a ask) (units uint64, until time.Time) {
+func (l *Loan) borrowFrom(ctx context.Context, address string, a request) (units uint64, until time.Time) {
 	x, f := clockwork.WithTimeout(ctx, l.Clock, l.For)
 	defer f()
 	t := l.Clock.Now()
@@ -116,16 +119,16 @@
 		Limit: division.RatePrefix + a.account, Units: a.units, Borrower: l.Self, ForNanoseconds: int64(l.For),
 	})
 	if err != nil {
-		// A lost answer loses the tokens; the lender's place for them opens
-		// again when the loan would have ended.
+		// If the response is lost, the tokens are lost. The lender regains the capacity
+		// for them when the loan would have ended.
 		return 0, t
 	}
 	u := time.Duration(r.ForNanoseconds)
-	return min(r.Units, a.units), t.Add(u - u/margin)
+	return min(r.Units, a.units), t.Add(u - u/marginDivisor)
 }
 
-// Lenders orders the other hosts that have more of a limit than they need
-// themselves, the nearest and richest first.
+// Lenders returns the other hosts that have more of a limit than they need themselves,
+// nearest and largest surplus first.
 func Lenders(self holder.Holder, near []holder.Holder, d division.Division, limit string, demand map[string]float64) []holder.Holder {
 	var r []holder.Holder
 	m := make(map[string]float64)
@@ -139,9 +142,9 @@
 			continue
 		}
 		if h.Domain == self.Domain {
-			s *= sameDomain
+			s *= sameDomainFactor
 		} else if h.Region == self.Region {
-			s *= sameRegion
+			s *= sameRegionFactor
 		}
 		m[h.Name] = s
 		r = append(r, h)
--- a/maxmin/maxmin.go
+++ b/maxmin/maxmin.go
@@ -1,10 +1,10 @@
-// Package maxmin divides an amount between needs: nobody gets more than it
-// needs while somebody else with less could get more.
+// Package maxmin implements max-min fair allocation: no demand gets more than it needs
+// while another that gets less could get more.
 package maxmin
 
 import "sort"
 
-// Divide returns how much of total each need gets.
+// Divide returns how much of total each demand gets.
 func Divide(total float64, needs []float64) []float64 {
 	o := make([]int, len(needs))
 	for i := range o {
--- a/partners/partners.go
+++ b/partners/partners.go
@@ -1,4 +1,4 @@
-// Package partners chooses with which other hosts a host exchanges heartbeats.
+// Package partners selects the hosts with which a host exchanges heartbeats.
 package partners
 
 import (
@@ -8,16 +8,16 @@
 	"celeryreach.example/celeryreach/rendezvous"
 )
 
-// perRegion is how many hosts of each other region a host talks to. With two, one
-// may fall silent and the next heartbeat still brings news of the region; and each
-// host of the region is the partner of some.
-const perRegion = 2
+// perOtherRegion is the number of partners in each other region. With two, one may stop
+// answering and the next heartbeat still brings updates from the region, and each host
+// of the region is the partner of some hosts.
+const perOtherRegion = 2
 
-// Partners returns all hosts of the own region, who must know of each other which
-// are alive, and a few of each other region, who bring news: versions, and names
-// of new hosts. Heartbeats then grow with the hosts of a region and not with the
-// square of all hosts. Those that were heard lately go first; each host prefers
-// others, so that no host is everybody's partner.
+// Partners returns all hosts of the same region, which must know which of them are
+// alive, and a few of each other region, which provide updates: versions and names of
+// new hosts. The number of heartbeats then grows with the hosts of a region and not
+// with the square of all hosts. Hosts that are alive come first. Each host prefers
+// different ones, so that no host is the partner of all others.
 func Partners(self member.Member, all []member.Member, alive func(name string) bool) []member.Member {
 	var l []member.Member
 	f := make(map[string][]member.Member)
@@ -38,7 +38,7 @@
 			}
 			return rendezvous.Uniform(self.Name, r[i].Name) > rendezvous.Uniform(self.Name, r[j].Name)
 		})
-		l = append(l, r[:min(len(r), perRegion)]...)
+		l = append(l, r[:min(len(r), perOtherRegion)]...)
 	}
 	return l
 }
--- a/partners/partners_test.go
+++ b/partners/partners_test.go
@@ -21,10 +21,11 @@
 	return l
 }
 
-// A host joins in one region. The hosts of the others must take their smaller
-// parts of the limits within two heartbeats: each of them has a partner in that
-// region, who heard it directly, also while one of its partners is silent.
-func TestNewsFromEachRegion(t *testing.T) {
+// When a host joins in one region, the hosts of the others must reduce their shares of
+// the limits within two heartbeats. Each of them needs a partner in that region which
+// has received a heartbeat of the new host directly, also while one of its partners
+// does not answer.
+func TestPartnerInEachRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "regions")
 		l := hosts(n, rapid.IntRange(1, 12).Draw(t, "hosts"))
@@ -46,7 +47,7 @@
 	})
 }
 
-// 82 hosts in three regions: a host has 31 partners and not 81.
+// With 84 hosts in three regions, a host has 31 partners and not 83.
 func TestFewPartners(t *testing.T) {
 	l := hosts(3, 28)
 	most := make(map[string]int)
--- a/permits/permits_test.go
+++ b/permits/permits_test.go
@@ -24,21 +24,22 @@
 	tick    = 20 * time.Millisecond
 )
 
-// fleet is hosts that send to one backend server, and the sum of what they send.
+// fleet simulates hosts that send requests to one backend server, and records what they
+// send.
 type fleet struct {
-	clock   *clockwork.FakeClock
-	backend backend.Backend
-	rate    float64
-	members []member.Member
-	hosts   []*Permits
-	cut     func(from, to string) bool // whether two hosts do not reach each other
-	asked   int                        // questions between hosts
-	sent    []time.Time
+	clock       *clockwork.FakeClock
+	backend     backend.Backend
+	rate        float64
+	members     []member.Member
+	hosts       []*Permits
+	partitioned func(from, to string) bool // whether two hosts cannot reach each other
+	asks        int                        // permit requests between hosts
+	sent        []time.Time
 }
 
 func newFleet(hosts, regions int, rate float64) *fleet {
 	f := &fleet{
-		clock: clockwork.NewFakeClock(), rate: rate, cut: func(string, string) bool { return false },
+		clock: clockwork.NewFakeClock(), rate: rate, partitioned: func(string, string) bool { return false },
 		backend: backend.Backend{Name: "c1", Service: "listings", Domain: "domain-0", Region: "region-0"},
 	}
 	for i := range hosts {
@@ -48,14 +49,14 @@
 		})
 	}
 	for _, m := range f.members {
-		f.hosts = append(f.hosts, f.start(m))
+		f.hosts = append(f.hosts, f.newHost(m))
 	}
 	f.clock.Advance(window)
 	return f
 }
 
-// start starts the process of a host.
-func (f *fleet) start(m member.Member) *Permits {
+// newHost returns a new process of a host.
+func (f *fleet) newHost(m member.Member) *Permits {
 	return &Permits{
 		Clock: f.clock, Log: log.New(io.Discard), Self: m, Begun: f.clock.Now(),
 		Hosts: func() []member.Member { return f.members }, Far: 0.15,
@@ -63,12 +64,12 @@
 		Rate:    func(string) float64 { return f.rate },
 		Overage: overage, Slack: slack,
 		Ask: func(ctx context.Context, a string, q *wire.PermitRequest) (*wire.PermitResponse, error) {
-			f.asked++
+			f.asks++
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
 			}
 			for i, v := range f.members {
-				if v.PeerAddress == a && !f.cut(m.Name, v.Name) {
+				if v.PeerAddress == a && !f.partitioned(m.Name, v.Name) {
 					return f.hosts[i].Give(q), nil
 				}
 			}
@@ -77,7 +78,7 @@
 	}
 }
 
-// send lets a host send one request if it may.
+// send lets a host send one request if it gets a permit.
 func (f *fleet) send(host int) bool {
 	_, ok := f.hosts[host].Get(context.Background(), f.backend)
 	if ok {
@@ -86,8 +87,8 @@
 	return ok
 }
 
-// most returns the most requests that were sent in any second.
-func (f *fleet) most() int {
+// maxPerSecond returns the maximum number of requests sent in any second.
+func (f *fleet) maxPerSecond() int {
 	n, from := 0, 0
 	for i, t := range f.sent {
 		for t.Sub(f.sent[from]) >= time.Second {
@@ -98,8 +99,9 @@
 	return n
 }
 
-// Hosts send more together than a cold backend server bears, whenever their callers come,
-// whoever is cut off from whom, and also when processes start anew.
+// Hosts together must not send more than a cold backend server can handle, whenever
+// their callers arrive, however the hosts are partitioned, and also when processes
+// restart.
 func TestSumOfPermits(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 40).Draw(r, "hosts"), rapid.IntRange(1, 3).Draw(r, "regions"), rapid.Float64Range(0, 30).Draw(r, "rate"))
@@ -107,22 +109,22 @@
 		for _, m := range f.members {
 			side[m.Name] = rapid.IntRange(0, 2).Draw(r, "side")
 		}
-		f.cut = func(x, y string) bool { return side[x] != side[y] }
+		f.partitioned = func(x, y string) bool { return side[x] != side[y] }
 		for range rapid.IntRange(20, 150).Draw(r, "ticks") {
 			f.clock.Advance(tick)
 			h := rapid.IntRange(0, len(f.hosts)-1).Draw(r, "host")
 			if rapid.IntRange(0, 30).Draw(r, "restart") == 0 {
-				f.hosts[h] = f.start(f.members[h])
+				f.hosts[h] = f.newHost(f.members[h])
 			}
 			for range rapid.IntRange(0, 25).Draw(r, "requests") {
 				f.send(h)
 			}
 		}
-		must.LessEq(t, f.rate*overage+slack, float64(f.most()))
+		must.LessEq(t, f.rate*overage+slack, float64(f.maxPerSecond()))
 	})
 }
 
-// Parts of the bound lie unused at hosts without callers, and callers of others are
+// Quotas must not stay unused at hosts without callers while callers of other hosts are
 // refused.
 func TestPermitsAreUsed(t *testing.T) {
 	for _, v := range []struct {
@@ -142,29 +144,30 @@
 			f.send(v.hosts(i))
 		}
 		u := float64(len(f.sent)) / span.Seconds() / (f.rate*overage + slack)
-		t.Logf("callers %s: %.2f of the bound used, %d questions for %d requests", v.callers, u, f.asked, len(f.sent))
+		t.Logf("callers %s: %.2f of the bound used, %d permit requests for %d requests", v.callers, u, f.asks, len(f.sent))
 		must.GreaterEq(t, v.least, u)
 	}
 }
 
-// A host that gives no answer delays each request.
-func TestLostHostIsNotAskedAgain(t *testing.T) {
+// A host that does not answer must not delay each request.
+func TestUnreachableHostIsNotAskedAgain(t *testing.T) {
 	f := newFleet(6, 1, 9.8)
-	f.cut = func(string, string) bool { return true }
+	f.partitioned = func(string, string) bool { return true }
 	for range 10 {
 		f.clock.Advance(tick)
 		for h := range f.hosts {
 			f.send(h)
 		}
 	}
-	must.LessEq(t, len(f.hosts)*givers, f.asked)
+	must.LessEq(t, len(f.hosts)*grantersPerRegion, f.asks)
 }
 
-// A host of a domain that is cut off gets no permit for the backend servers there.
-func TestDomainCutOffGoesOn(t *testing.T) {
+// A host in a partitioned failure domain must still get permits for the backend servers
+// there.
+func TestPartitionedDomainContinues(t *testing.T) {
 	f := newFleet(12, 2, 9.8)
 	in := func(n string) bool { return n == "host-0" || n == "host-4" || n == "host-8" }
-	f.cut = func(x, y string) bool { return in(x) != in(y) }
+	f.partitioned = func(x, y string) bool { return in(x) != in(y) }
 	n := 0
 	for range int(5 * time.Second / tick) {
 		f.clock.Advance(tick)
@@ -175,9 +178,9 @@
 	must.Greater(t, 5*10, n)
 }
 
-// A caller that leaves while its host asks for a permit takes the backend server out of use
-// for others.
-func TestCallerLeavesBeforeAPermit(t *testing.T) {
+// A caller that leaves while its host asks for a permit must not make the backend
+// server unavailable to others.
+func TestCanceledPermitRequest(t *testing.T) {
 	f := newFleet(6, 1, 9.8)
 	x, stop := context.WithCancel(context.Background())
 	stop()
@@ -188,9 +191,9 @@
 	}
 }
 
-// Hosts that add up in different orders round differently, and parts of regions exceed the
-// bound.
-func TestPartsAddUp(t *testing.T) {
+// Hosts that sum in different orders would round differently, and the quotas of regions
+// would exceed the bound.
+func TestQuotasAddUp(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		f := newFleet(rapid.IntRange(3, 40).Draw(r, "hosts"), 3, 9.8)
 		s := rapid.IntRange(1, 24).Draw(r, "slots")
@@ -200,7 +203,7 @@
 		for _, h := range f.hosts[:3] { // one in each region
 			h.Slots = func(string) map[string]int { return map[string]int{"region-0": s, "region-1": s, "region-2": s} }
 			h.hosts = f.members
-			sum += h.regionPart(q, all)
+			sum += h.regionQuota(q, all)
 		}
 		must.EqOp(t, all, sum)
 	})
--- a/region/region.go
+++ b/region/region.go
@@ -5,6 +5,6 @@
 type Region struct {
 	// Name identifies the region.
 	Name string
-	// Draining is set by operators: new callers are steered elsewhere.
+	// Draining is set by operators to steer new callers to other regions.
 	Draining bool `json:",omitzero"`
 }
--- a/tokens/entry.go
+++ b/tokens/entry.go
@@ -12,59 +12,69 @@
 )
 
 const (
-	// low is the part of the burst below which a host asks others for tokens.
-	low = 0.4
-	// spare is the part of the burst above which a host gives to others.
-	spare = 0.5
-	// askPause spaces the requests for tokens of one account.
-	askPause = 60 * time.Millisecond
-	// wantLife is how long a host that asked in vain counts as in want. It asks
-	// again while it is, at the latest after askPause.
-	wantLife = time.Second
-	// lateCapacity is the least bucket that others' spare tokens are handed to.
-	lateCapacity = 2
-	// leastHolders is how many hosts hold a part if the burst allows: all those of
-	// a small deployment, so that each failure domain can go on alone.
-	leastHolders = 8
-	// leastBurst is the smallest part of a burst that more hosts hold. With
-	// smaller ones the tokens are where nobody asks. Refused of an account at 0.6
-	// of its rate, with 80 hosts (TestManyHostsInsideTheRate, seed 1): 0.16 with
-	// 20 holders of 1, 0.06 with 8 of 2.5.
-	leastBurst = 4.0
-	// wants is how many hosts in want are kept for one account.
-	wants = 8
-	// retry is when a refused caller may come back to a host that makes no tokens
-	// itself: others may have sent some by then.
-	retry = 250 * time.Millisecond
-	// longestRetry is the longest time that is told. Far above its rate an account
-	// could be told any; what holds in some seconds, nobody knows.
-	longestRetry = 5 * time.Second
+	// borrowThreshold is the fill level, as a fraction of the burst, up to which a host
+	// borrows tokens from others.
+	borrowThreshold = 0.4
+	// lendThreshold is the fill level, as a fraction of the burst, above which a host
+	// lends tokens that no request of the borrower waits for.
+	lendThreshold = 0.5
+	// minBorrowInterval is the minimum time between two attempts to borrow tokens of
+	// one account, except for an immediate repetition while requests still wait.
+	minBorrowInterval = 60 * time.Millisecond
+	// shortfallTTL is how long a shortfall of another host is kept. While it lacks
+	// tokens, that host asks again after at most minBorrowInterval.
+	shortfallTTL = time.Second
+	// minDeferredCapacity is the minimum bucket capacity of a host, in tokens, for
+	// spare tokens to be lent to it after its request.
+	minDeferredCapacity = 2
+	// minHolders is the number of hosts that hold a share if the burst allows. It
+	// covers all hosts of a small deployment, so that each failure domain can continue
+	// alone.
+	minHolders = 8
+	// minBurstShare is the smallest share of the burst, in tokens, that more than
+	// minHolders hosts hold. With smaller shares the tokens are at hosts without
+	// demand. With 80 hosts and an account at 0.6 of its rate
+	// (TestManyHostsInsideTheRate, seed 1), 0.16 of the requests are refused with 20
+	// holders of 1 token, and 0.06 with 8 holders of 2.5 tokens.
+	minBurstShare = 4.0
+	// maxShortfalls is the maximum number of shortfalls kept per account.
+	maxShortfalls = 8
+	// defaultRetryAfter is the retry delay for callers of a host whose bucket makes no
+	// tokens: other hosts may have lent some by then.
+	defaultRetryAfter = 250 * time.Millisecond
+	// maxRetryAfter is the maximum retry delay. Far above its rate, an account's
+	// computed delay grows without bound, and the state several seconds ahead is
+	// unknown.
+	maxRetryAfter = 5 * time.Second
 )
 
-// entry is this host's part of one client account's limits.
+// entry is this host's share of the limits of one client account.
 type entry struct {
 	account account.Account
 	bucket  bucket.Bucket
-	holders []string // the hosts that hold a part
-	asked   time.Time
-	asking  bool        // hosts are being asked
-	got     bool        // one of them gave something
-	waiting []chan bool // requests that wait for a token, the oldest first
-	wants   []want      // hosts that asked in vain, the latest last
-	// promised is until when the tokens that the bucket makes are promised to
-	// callers that were refused.
-	promised time.Time
-}
-
-// want is what another host lacks.
-type want struct {
+	holders []string // hosts that hold a share of the limits
+	// lastBorrow is when the last attempt to borrow began.
+	lastBorrow time.Time
+	borrowing  bool        // an attempt to borrow is in progress
+	received   bool        // the attempt brought tokens
+	waiting    []chan bool // requests that wait for a token, oldest first
+	shortfalls []shortfall // requests of other hosts that were not met, latest last
+	// promisedUntil is the time until which the tokens that the bucket makes are
+	// promised to refused callers.
+	promisedUntil time.Time
+}
+
+// shortfall is a number of tokens that another host requested and did not get. It
+// expires at until.
+type shortfall struct {
 	host  string
 	units int64
 	until time.Time
 }
 
-// fit gives the bucket its part of the account's limits.
-func (e *entry) fit(self string, hosts []string, now time.Time) {
+// resize sets the rate and burst of the bucket to this host's share of the account's
+// limits.
+func (e *entry) resize(self string, hosts []string, now time.Time) {
 	e.holders = holders(e.account, hosts)
 	if !slices.Contains(e.holders, self) {
 		e.bucket.Set(now, 0, 0)
@@ -74,11 +84,12 @@
 	e.bucket.Set(now, e.account.Rate/k, max(e.account.Burst, 1)/k)
 }
 
-// holders returns the hosts that hold a part of an account's limits. A bucket of
-// less than one token would admit nothing, so with a burst below the number of
-// hosts only so many hold one, others for each account; the rest borrows.
+// holders returns the hosts that hold a share of an account's limits. A bucket with a
+// capacity below one token admits nothing. With a burst lower than the number of hosts,
+// only so many hosts hold a share that each has at least one token, chosen separately
+// for each account; the others borrow.
 func holders(a account.Account, hosts []string) []string {
-	k := max(int(a.Burst/leastBurst), min(int(a.Burst), leastHolders), 1)
+	k := max(int(a.Burst/minBurstShare), min(int(a.Burst), minHolders), 1)
 	if k >= len(hosts) {
 		return hosts
 	}
@@ -89,27 +100,28 @@
 	return l[:k]
 }
 
-// refill adds what the rate has made, for those who wait first.
+// refill adds the tokens made since the last refill. Waiting requests get tokens first.
 func (e *entry) refill(now time.Time) {
 	e.bucket.Refill(now)
-	e.serve()
+	e.serveWaiting()
 }
 
-// take takes a token, unless others wait for one.
+// take takes a token, unless other requests wait for one.
 func (e *entry) take(now time.Time) bool {
 	e.refill(now)
 	return len(e.waiting) == 0 && e.bucket.Take(now)
 }
 
-// join puts a request at the end of those that wait.
-func (e *entry) join() chan bool {
+// startWaiting appends a request to the waiting requests. The channel receives whether
+// it got a token.
+func (e *entry) startWaiting() chan bool {
 	w := make(chan bool, 1)
 	e.waiting = append(e.waiting, w)
 	return w
 }
 
-// leave ends a request's wait and reports whether it got a token.
-func (e *entry) leave(w chan bool) bool {
+// stopWaiting ends the wait of a request and reports whether it got a token.
+func (e *entry) stopWaiting(w chan bool) bool {
 	for i, v := range e.waiting {
 		if v == w {
 			e.waiting = append(e.waiting[:i], e.waiting[i+1:]...)
@@ -119,105 +131,109 @@
 	return <-w
 }
 
-// serve hands tokens to requests that wait.
-func (e *entry) serve() {
+// serveWaiting hands available tokens to waiting requests.
+func (e *entry) serveWaiting() {
 	for len(e.waiting) > 0 && e.bucket.TakeMany(1) {
-		e.next(true)
+		e.resolveOldest(true)
 	}
 }
 
-// refuse ends all waits.
-func (e *entry) refuse() {
+// refuseWaiting refuses all waiting requests.
+func (e *entry) refuseWaiting() {
 	for len(e.waiting) > 0 {
-		e.next(false)
+		e.resolveOldest(false)
 	}
 }
 
-func (e *entry) next(ok bool) {
+// resolveOldest ends the wait of the oldest request, with a token or refused.
+func (e *entry) resolveOldest(ok bool) {
 	w := e.waiting[0]
 	e.waiting = e.waiting[1:]
 	w <- ok
 }
 
-// comeBack returns when there will be a token for a refused caller: the next one that
-// the bucket makes and that none refused before it was promised. Told the same time,
-// all would come back at once, one would be served and the others refused again.
-func (e *entry) comeBack(now time.Time) time.Duration {
+// promiseToken returns the time after which a refused caller finds a token. This is the
+// next token that the bucket makes and that is not promised to another refused caller.
+// With the same delay, all callers would return at once, one would be served and the
+// others refused again.
+func (e *entry) promiseToken(now time.Time) time.Duration {
 	d, i, ok := e.bucket.Until()
 	if !ok {
-		return retry
+		return defaultRetryAfter
 	}
-	t := deadline.Later(now.Add(d), e.promised)
-	if t.Sub(now) > longestRetry {
-		return longestRetry
+	t := deadline.Later(now.Add(d), e.promisedUntil)
+	if t.Sub(now) > maxRetryAfter {
+		return maxRetryAfter
 	}
-	e.promised = t.Add(i)
+	e.promisedUntil = t.Add(i)
 	return t.Sub(now)
 }
 
-// receive takes n tokens. A bucket that is full, or that has no part of the
-// limits at all, still passes them to requests that wait.
+// receive adds n borrowed tokens. Waiting requests get them first, even if the bucket
+// is full or this host holds no share of the limits.
 func (e *entry) receive(n int64) {
-	e.got = e.got || n > 0
+	e.received = e.received || n > 0
 	for ; n > 0 && len(e.waiting) > 0; n-- {
-		e.next(true)
+		e.resolveOldest(true)
 	}
 	e.bucket.Add(n)
 }
 
-// needs is how many tokens this host should ask for, zero if it has enough, and
-// for how many of them requests wait.
-func (e *entry) needs() (n, urgent int64) {
+// deficit returns how many tokens this host should borrow, zero if it has enough, and
+// how many of them requests wait for.
+func (e *entry) deficit() (n, urgent int64) {
 	c := e.bucket.Capacity()
 	w := int64(len(e.waiting))
-	if w == 0 && e.bucket.Tokens() > low*c {
+	if w == 0 && e.bucket.Tokens() > borrowThreshold*c {
 		return 0, 0
 	}
 	return max(int64(c-e.bucket.Tokens()), w), w
 }
 
-// give takes up to n tokens out of the bucket. All may go to requests that wait at
-// the other host; what that one only wants to have ready must be to spare here.
+// give takes up to n tokens out of the bucket for another host, unless requests wait at
+// this host. Requests that wait at the other host may get all tokens; the remainder is
+// taken only from tokens above lendThreshold.
 func (e *entry) give(n, urgent int64) int64 {
 	h := e.bucket.Tokens()
-	n = min(n, max(int64(h-spare*e.bucket.Capacity()), min(urgent, int64(h))))
+	n = min(n, max(int64(h-lendThreshold*e.bucket.Capacity()), min(urgent, int64(h))))
 	if n <= 0 || len(e.waiting) > 0 || !e.bucket.TakeMany(n) {
 		return 0
 	}
 	return n
 }
 
-// note remembers that a host asked in vain. Tokens that come late go into its
-// bucket, since its request has been refused by then; a bucket that holds but one
-// would run over, and they would be lost.
-func (e *entry) note(host string, n int64, now time.Time) {
-	if e.bucket.Capacity() < lateCapacity || !slices.Contains(e.holders, host) {
+// addShortfall records that a host did not get n of the tokens that it requested.
+// Tokens that arrive later go into its bucket, since its request has been refused by
+// then. A bucket that holds only one token would overflow and lose them.
+func (e *entry) addShortfall(host string, n int64, now time.Time) {
+	if e.bucket.Capacity() < minDeferredCapacity || !slices.Contains(e.holders, host) {
 		return
 	}
-	e.forget(host)
-	if len(e.wants) == wants {
-		e.wants = e.wants[1:]
+	e.removeShortfall(host)
+	if len(e.shortfalls) == maxShortfalls {
+		e.shortfalls = e.shortfalls[1:]
 	}
-	e.wants = append(e.wants, want{host: host, units: n, until: now.Add(wantLife)})
+	e.shortfalls = append(e.shortfalls, shortfall{host: host, units: n, until: now.Add(shortfallTTL)})
 }
 
-func (e *entry) forget(host string) {
-	for i, w := range e.wants {
+func (e *entry) removeShortfall(host string) {
+	for i, w := range e.shortfalls {
 		if w.host == host {
-			e.wants = append(e.wants[:i:i], e.wants[i+1:]...)
+			e.shortfalls = append(e.shortfalls[:i:i], e.shortfalls[i+1:]...)
 			return
 		}
 	}
 }
 
-// wanted returns who is in want, the latest first, and drops the others.
-func (e *entry) wanted(now time.Time) []want {
-	var l []want
-	for i := len(e.wants) - 1; i >= 0; i-- {
-		if w := e.wants[i]; w.until.After(now) {
+// openShortfalls returns the shortfalls that have not expired, latest first, and
+// removes the others.
+func (e *entry) openShortfalls(now time.Time) []shortfall {
+	var l []shortfall
+	for i := len(e.shortfalls) - 1; i >= 0; i-- {
+		if w := e.shortfalls[i]; w.until.After(now) {
 			l = append(l, w)
 		} else {
-			e.forget(w.host)
+			e.removeShortfall(w.host)
 		}
 	}
 	return l
--- a/tokens/loan_test.go
+++ b/tokens/loan_test.go
@@ -8,12 +8,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// patience is how long requests of these tests may wait for tokens.
-const patience = 50 * time.Millisecond
+// maxWait is how long requests of these tests may wait for tokens.
+const maxWait = 50 * time.Millisecond
 
-// begin sends a request to host 0 and returns where its result comes. It returns
-// when the request is served or waits.
-func begin(t *testing.T, m *model) <-chan bool {
+// startRequest sends a request to host 0 and returns the channel of its result. It
+// returns when the request is served or waits.
+func startRequest(t *testing.T, m *model) <-chan bool {
 	r := make(chan bool, 1)
 	asked := make(chan struct{}, 1)
 	m.hosts[0].Ask = func(string, int64, int64, []string) bool {
@@ -21,7 +21,7 @@
 		return true
 	}
 	go func() {
-		_, _, ok := m.hosts[0].Take(context.Background(), unity, patience)
+		_, _, ok := m.hosts[0].Take(context.Background(), unity, maxWait)
 		r <- ok
 	}()
 	<-asked
@@ -29,8 +29,8 @@
 	return r
 }
 
-// drained returns hosts of which the first has no token left.
-func drained(hosts int) *model {
+// drainedModel returns a model in which the first host has no token left.
+func drainedModel(hosts int) *model {
 	m := newModel(hosts, 10, 40)
 	m.clock.Advance(time.Hour)
 	for _, h := range m.hosts {
@@ -42,43 +42,43 @@
 	return m
 }
 
-// A caller of an account inside its rate comes to the one host whose bucket is
-// empty. Another host has tokens to spare and answers within a millisecond. The
-// caller waits for them and is not refused.
+// A caller inside the rate reaches the one host whose bucket is empty. Another host
+// lends a token within a millisecond, so the caller must wait for it and not be
+// refused.
 func TestWaitsForALoan(t *testing.T) {
-	m := drained(2)
-	r := begin(t, m)
+	m := drainedModel(2)
+	r := startRequest(t, m)
 	m.hosts[0].Receive(unity, m.hosts[1].Give(name(0), unity, 1, 0))
 	m.hosts[0].Asked(unity)
 	must.True(t, <-r)
 }
 
-// The account's rate is used up on all hosts. Its caller is refused as soon as the
-// hosts that were asked have answered, and not held for the whole of its patience.
-func TestRefusedWhenNobodyHasTokens(t *testing.T) {
-	m := drained(2)
-	r := begin(t, m)
+// The account's rate is used up on all hosts. The caller must be refused as soon as the
+// hosts that were asked have answered, and not only when its maximum wait ends.
+func TestRefusedWhenNoHostHasTokens(t *testing.T) {
+	m := drainedModel(2)
+	r := startRequest(t, m)
 	m.hosts[0].Asked(unity)
 	must.False(t, <-r)
 }
 
-// The hosts that were asked do not answer. The caller is refused when its patience
-// has ended; tokens that come later serve the next one.
-func TestRefusedWhenNobodyAnswers(t *testing.T) {
-	m := drained(2)
-	r := begin(t, m)
-	m.clock.Advance(patience)
+// The hosts that were asked do not answer. The caller must be refused when its
+// maximum wait ends, and tokens that arrive later must serve the next caller.
+func TestRefusedWhenNoHostAnswers(t *testing.T) {
+	m := drainedModel(2)
+	r := startRequest(t, m)
+	m.clock.Advance(maxWait)
 	must.False(t, <-r)
 	m.hosts[0].Receive(unity, 1)
 	m.take(0)
 	must.EqOp(t, 21, len(m.admitted))
 }
 
-// Three callers wait, and the first answer brings one token. The oldest gets it,
-// and the hosts are asked again for the others, before anybody is refused.
-func TestAsksAgainForThoseWhoWait(t *testing.T) {
-	m := drained(2)
-	first := begin(t, m)
+// Three callers wait, and the first attempt to borrow brings one token. The oldest
+// caller must get it, and the hosts must be asked again before any other is refused.
+func TestBorrowsAgainForWaitingRequests(t *testing.T) {
+	m := drainedModel(2)
+	first := startRequest(t, m)
 	var asked []int64
 	m.hosts[0].Ask = func(_ string, n, _ int64, _ []string) bool {
 		asked = append(asked, n)
@@ -87,7 +87,7 @@
 	rest := make(chan bool, 2)
 	for range 2 {
 		go func() {
-			_, _, ok := m.hosts[0].Take(context.Background(), unity, patience)
+			_, _, ok := m.hosts[0].Take(context.Background(), unity, maxWait)
 			rest <- ok
 		}()
 	}
@@ -101,10 +101,11 @@
 	must.True(t, <-rest)
 }
 
-// A host asks while another has nothing to spare. Later that one's bucket would
-// run over: what it has to spare goes to the host that asked, and is not lost.
-func TestSpareTokensGoWhereTheyAreWanted(t *testing.T) {
-	m := drained(2)
+// A host asks while another has no spare tokens. Before the bucket of the other host
+// overflows later, its spare tokens must go to the host that asked instead of being
+// lost.
+func TestSpareTokensAreLentLater(t *testing.T) {
+	m := drainedModel(2)
 	for range 20 {
 		m.take(1)
 	}
@@ -127,9 +128,9 @@
 	must.EqOp(t, "", host)
 }
 
-// An account's burst is less than the number of hosts. Each host with a bucket of
-// one whole token would make the burst as large as the number of hosts; so only
-// some hold a part, and the others borrow for each request.
+// An account's burst is lower than the number of hosts. With a bucket of one token on
+// each host, the total burst would be the number of hosts; so only some hosts must hold
+// a share, and the others borrow for each request.
 func TestBurstBelowTheNumberOfHosts(t *testing.T) {
 	m := newModel(8, 10, 3)
 	m.clock.Advance(time.Hour)
@@ -138,5 +139,5 @@
 		m.take(i)
 	}
 	must.Len(t, 3, m.admitted)
-	must.EqOp(t, "", m.over())
+	must.EqOp(t, "", m.findExcess())
 }
--- a/tokens/comeback_test.go
+++ b/tokens/retryafter_test.go
@@ -12,11 +12,11 @@
 	"celeryreach.example/celeryreach/tokens"
 )
 
-// A host has just started, its buckets are empty, and ten callers of an account come
-// at once, all inside its rate. They are refused and told when to come back. Each
-// finds a token when it does as told: told one time for all, they would come back
-// together, one would be served and nine refused again.
-func TestCallersComeBackToAToken(t *testing.T) {
+// Ten callers inside the rate arrive at a host that has just started with empty
+// buckets. Each refused caller must find a token when it retries after the returned
+// time. With the same time for all, they would return at once, one would be served and
+// nine refused again.
+func TestRetryAfterFindsToken(t *testing.T) {
 	k := clockwork.NewFakeClock()
 	x := &tokens.Tokens{Clock: k, Self: "a", Hosts: func() []string { return []string{"a", "b"} }}
 	x.Set([]account.Account{{Name: "unity", Rate: 20, Burst: 20}})
@@ -32,13 +32,13 @@
 		k.Advance(d - s)
 		s = d
 		_, _, ok := x.Take(context.Background(), "unity", 0)
-		must.True(t, ok, must.Sprint("told ", d))
+		must.True(t, ok, must.Sprint("retry after ", d))
 	}
 }
 
-// Far above its rate an account's callers are told a time that may hold, not that of
-// a queue that nobody keeps.
-func TestNoCallerIsSentAwayForLong(t *testing.T) {
+// The time returned to callers far above the rate must stay bounded, and not be that of
+// a queue that does not exist.
+func TestRetryAfterIsBounded(t *testing.T) {
 	k := clockwork.NewFakeClock()
 	x := &tokens.Tokens{Clock: k, Self: "a", Hosts: func() []string { return []string{"a"} }}
 	x.Set([]account.Account{{Name: "unity", Rate: 2, Burst: 2}})
--- a/tokens/tokens.go
+++ b/tokens/tokens.go
@@ -1,5 +1,5 @@
-// Package tokens divides the rates of client accounts between hosts by tokens
-// that hosts hand to each other.
+// Package tokens divides the rate limits of client accounts between hosts, which lend
+// each other tokens.
 package tokens
 
 import (
@@ -13,32 +13,32 @@
 	"celeryreach.example/celeryreach/account"
 )
 
-// refillEvery is how often buckets are refilled that nobody uses, and how often
-// what they have to spare is handed on. A host's bucket is full after half a
-// second to a few seconds; what its rate makes after that is lost.
-const refillEvery = 100 * time.Millisecond
-
-// Tokens holds this host's bucket of each client account. The hosts that hold an
-// account's limits, all of a small deployment, have equal parts of rate and burst.
-// A host with many of its callers gets tokens from others; a token leaves the one
-// bucket before it enters the other, so that none is ever used twice, and one that
-// is lost on the way is only lost. This needs no clock that agrees, no lease and no
-// store: hosts that are cut off, frozen or started anew keep the sum below the
-// limit.
+// refillInterval is how often idle buckets are refilled and spare tokens are lent. A
+// host's bucket is full after half a second to a few seconds; tokens made after that
+// are lost.
+const refillInterval = 100 * time.Millisecond
+
+// Tokens holds this host's token bucket of each client account. The hosts that hold an
+// account's limits (all hosts of a small deployment) have equal shares of rate and
+// burst. A host that receives many of the account's requests borrows tokens from
+// others. A token leaves one bucket before it enters another, so no token is used
+// twice, and one that is lost in transit is only lost. This needs no synchronized
+// clocks, leases or store: partitioned, paused and restarted hosts keep the total below
+// the limit.
 type Tokens struct {
-	// Clock refills the buckets.
+	// Clock is the time source of the buckets.
 	Clock clockwork.Clock
 	// Self is the name of this host.
 	Self string
 	// Hosts returns the names of the hosts between which the limits are divided,
-	// this one included. It is empty while they are not known and nothing may be
+	// including this one. It returns none while they are unknown and nothing may be
 	// admitted.
 	Hosts func() []string
-	// Ask begins to get n tokens from hosts among holders, of which requests wait
-	// for urgent ones. It hands them to Receive, and calls Asked in the end. It must
-	// not block, and reports false if it does nothing.
+	// Ask starts to borrow n tokens from hosts among holders; requests wait for urgent
+	// of them. It passes borrowed tokens to Receive and calls Asked at the end. It must
+	// not block, and returns false if it does nothing.
 	Ask func(account string, n, urgent int64, holders []string) bool
-	// Lend hands tokens to another host. It must not block.
+	// Lend sends tokens to another host. It must not block.
 	Lend func(host, account string, n int64)
 
 	mu       sync.Mutex
@@ -46,21 +46,21 @@
 	accounts map[string]*entry
 }
 
-// Run refills all buckets until ctx ends, so that an account's first requests
-// find what its rate has made since the host started.
+// Run refills all buckets until ctx ends, so that the first requests of an account find
+// the tokens made since the host started.
 func (t *Tokens) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-t.Clock.After(refillEvery):
+		case <-t.Clock.After(refillInterval):
 			t.Refill()
 		}
 	}
 	return nil
 }
 
-// Refill brings all buckets up to date, and hands what they have to spare to the
-// hosts that asked in vain.
+// Refill updates all buckets and lends spare tokens to hosts whose requests were not
+// met.
 func (t *Tokens) Refill() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,14 +70,15 @@
 	t.hosts = h
 	for _, e := range t.accounts {
 		if c {
-			e.fit(t.Self, h, n)
+			e.resize(t.Self, h, n)
 		}
 		e.refill(n)
-		t.handOn(e, n)
+		t.lendSpare(e, n)
 	}
 }
 
-// Set takes the client accounts of a configuration. Lower limits hold at once.
+// Set applies the client accounts of a configuration. Lower limits take effect
+// immediately.
 func (t *Tokens) Set(l []account.Account) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,24 +91,25 @@
 		}
 		delete(t.accounts, a.Name)
 		e.account = a
-		e.fit(t.Self, t.hosts, t.Clock.Now())
+		e.resize(t.Self, t.hosts, t.Clock.Now())
 		m[a.Name] = e
 	}
 	for _, e := range t.accounts {
-		e.refuse()
+		e.refuseWaiting()
 	}
 	t.accounts = m
 }
 
-// Take admits one request of an account, or tells when to come back. If the
-// bucket is empty and other hosts are being asked, the request waits for their
-// answers, no longer than patience. Left is what the bucket holds then.
-func (t *Tokens) Take(ctx context.Context, name string, patience time.Duration) (left float64, retryAfter time.Duration, ok bool) {
+// Take admits one request of an account, or returns the time after which to retry. If
+// the bucket is empty and an attempt to borrow is in progress, the request waits for
+// its result, at most for maxWait. left is the number of tokens in the bucket
+// afterwards.
+func (t *Tokens) Take(ctx context.Context, name string, maxWait time.Duration) (left float64, retryAfter time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.accounts[name]
 	if e == nil {
-		return 0, retry, false
+		return 0, defaultRetryAfter, false
 	}
 	if e.account.Rate == 0 {
 		return 0, 0, true
@@ -115,22 +117,22 @@
 	n := t.Clock.Now()
 	ok = e.take(n)
 	if ok {
-		t.ask(e, n)
+		t.borrowIfLow(e, n)
 	} else {
-		ok = t.wait(ctx, e, patience)
+		ok = t.waitForToken(ctx, e, maxWait)
 	}
 	if !ok {
-		return e.bucket.Tokens(), e.comeBack(t.Clock.Now()), false
+		return e.bucket.Tokens(), e.promiseToken(t.Clock.Now()), false
 	}
 	return e.bucket.Tokens(), 0, true
 }
 
-// wait asks other hosts for the token of a request, and leaves the lock while it
-// waits.
-func (t *Tokens) wait(ctx context.Context, e *entry, patience time.Duration) bool {
-	w := e.join()
-	if !t.ask(e, t.Clock.Now()) || patience <= 0 {
-		return e.leave(w)
+// waitForToken waits for a token borrowed from other hosts. It releases the lock while
+// it waits.
+func (t *Tokens) waitForToken(ctx context.Context, e *entry, maxWait time.Duration) bool {
+	w := e.startWaiting()
+	if !t.borrowIfLow(e, t.Clock.Now()) || maxWait <= 0 {
+		return e.stopWaiting(w)
 	}
 	t.mu.Unlock()
 	select {
@@ -138,24 +140,24 @@
 		t.mu.Lock()
 		return ok
 	case <-ctx.Done():
-	case <-t.Clock.After(patience):
+	case <-t.Clock.After(maxWait):
 	}
 	t.mu.Lock()
-	return e.leave(w)
+	return e.stopWaiting(w)
 }
 
-// Return gives back the token of a request that did not run.
+// Return gives back the token of a request that was not executed.
 func (t *Tokens) Return(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.accounts[name]; e != nil {
 		e.bucket.Return()
-		e.serve()
+		e.serveWaiting()
 	}
 }
 
-// Give takes up to n tokens out of the bucket for another host, where requests
-// wait for urgent ones. What it cannot give now, that host may get later.
+// Give takes up to n tokens out of the bucket for another host, where requests wait for
+// urgent of them. The host may get the remainder later.
 func (t *Tokens) Give(host, name string, n, urgent int64) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -167,13 +169,12 @@
 	e.refill(c)
 	g := e.give(n, urgent)
 	if g < n {
-		e.note(host, n-g, c)
+		e.addShortfall(host, n-g, c)
 	}
 	return g
 }
 
-// Receive puts tokens that another host gave into the bucket. Requests that wait
-// get them first.
+// Receive adds tokens lent by another host. Waiting requests get them first.
 func (t *Tokens) Receive(name string, n int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -182,9 +183,9 @@
 	}
 }
 
-// Asked tells that all hosts which were asked have answered. If they had tokens,
-// but not for all who wait by now, they are asked once more; if they had none,
-// who still waits is refused.
+// Asked ends an attempt to borrow, after all hosts that were asked have answered. If
+// they lent tokens but requests still wait, they are asked once more; if they lent
+// none, the waiting requests are refused.
 func (t *Tokens) Asked(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -192,39 +193,40 @@
 	if e == nil {
 		return
 	}
-	e.asking = false
-	if e.got && len(e.waiting) > 0 && t.begin(e, t.Clock.Now()) {
+	e.borrowing = false
+	if e.received && len(e.waiting) > 0 && t.borrow(e, t.Clock.Now()) {
 		return
 	}
-	e.refuse()
+	e.refuseWaiting()
 }
 
-// handOn lends what a bucket has to spare.
-func (t *Tokens) handOn(e *entry, now time.Time) {
-	for _, w := range e.wanted(now) {
+// lendSpare lends spare tokens to hosts whose requests were not met.
+func (t *Tokens) lendSpare(e *entry, now time.Time) {
+	for _, w := range e.openShortfalls(now) {
 		if n := e.give(w.units, 0); n > 0 && t.Lend != nil {
 			t.Lend(w.host, e.account.Name, n)
-			e.forget(w.host)
+			e.removeShortfall(w.host)
 		}
 	}
 }
 
-// ask asks other hosts if the bucket runs low. It reports whether an answer is
-// awaited.
-func (t *Tokens) ask(e *entry, now time.Time) bool {
-	if e.asking || now.Sub(e.asked) < askPause {
-		return e.asking
+// borrowIfLow starts to borrow tokens if the bucket runs low. It reports whether an
+// attempt is in progress.
+func (t *Tokens) borrowIfLow(e *entry, now time.Time) bool {
+	if e.borrowing || now.Sub(e.lastBorrow) < minBorrowInterval {
+		return e.borrowing
 	}
-	return t.begin(e, now)
+	return t.borrow(e, now)
 }
 
-func (t *Tokens) begin(e *entry, now time.Time) bool {
-	n, u := e.needs()
+// borrow starts to borrow tokens if the host needs any, and reports whether it did.
+func (t *Tokens) borrow(e *entry, now time.Time) bool {
+	n, u := e.deficit()
 	if n <= 0 || t.Ask == nil {
 		return false
 	}
-	e.asked = now
-	e.got = false
-	e.asking = t.Ask(e.account.Name, n, u, e.holders)
-	return e.asking
+	e.lastBorrow = now
+	e.received = false
+	e.borrowing = t.Ask(e.account.Name, n, u, e.holders)
+	return e.borrowing
 }
--- a/tokens/tokens_test.go
+++ b/tokens/tokens_test.go
@@ -18,29 +18,29 @@
 
 const unity = "unity"
 
-// model is some hosts that divide one account's rate, and what they admitted.
+// model simulates hosts that divide one account's rate, and records what they admitted.
 type model struct {
-	clock    *clockwork.FakeClock
-	hosts    []*tokens.Tokens
-	seen     []int // how many hosts each host knows
-	rate     float64
-	burst    float64
-	admitted []time.Time
-	leak     bool           // the test of the test: a lender that keeps what it gave
-	later    func(f func()) // runs f after all hosts have had their turn
+	clock     *clockwork.FakeClock
+	hosts     []*tokens.Tokens
+	known     []int // number of hosts that each host knows
+	rate      float64
+	burst     float64
+	admitted  []time.Time
+	leak      bool           // lenders keep the tokens that they lend, to test the model itself
+	deferCall func(f func()) // runs f after all hosts have run in a tick
 }
 
 func newModel(n int, rate, burst float64) *model {
 	m := &model{clock: clockwork.NewFakeClock(), rate: rate, burst: burst}
 	for i := range n {
-		m.seen = append(m.seen, n)
+		m.known = append(m.known, n)
 		m.hosts = append(m.hosts, m.host(i))
 	}
 	return m
 }
 
 func (m *model) host(i int) *tokens.Tokens {
-	t := &tokens.Tokens{Clock: m.clock, Self: name(i), Hosts: func() []string { return names(m.seen[i]) }}
+	t := &tokens.Tokens{Clock: m.clock, Self: name(i), Hosts: func() []string { return names(m.known[i]) }}
 	t.Set([]account.Account{{Name: unity, Rate: m.rate, Burst: m.burst}})
 	return t
 }
@@ -49,8 +49,8 @@
 	return fmt.Sprint("host-", i)
 }
 
-// number is the number of the host of that name.
-func number(host string) int {
+// index returns the index of the host with the given name.
+func index(host string) int {
 	n, err := strconv.Atoi(strings.TrimPrefix(host, "host-"))
 	if err != nil {
 		panic(err)
@@ -58,7 +58,7 @@
 	return n
 }
 
-// names is what a host sees that knows n hosts.
+// names returns the hosts that a host sees if it knows n hosts.
 func names(n int) []string {
 	var r []string
 	for i := range n {
@@ -84,7 +84,7 @@
 			m.hosts[i].Receive(unity, n)
 		}
 	case "lose":
-		m.hosts[i].Give("", unity, 10, 0) // the answer never comes
+		m.hosts[i].Give("", unity, 10, 0) // the response is lost
 	case "restart":
 		m.hosts[i] = m.host(i)
 	case "wait":
@@ -101,9 +101,9 @@
 	return ok
 }
 
-// over returns a window in which more was admitted than rate and burst allow,
-// or an empty string.
-func (m *model) over() string {
+// findExcess returns a period in which more was admitted than rate and burst allow, or
+// an empty string.
+func (m *model) findExcess() string {
 	for i, a := range m.admitted {
 		for j := i; j < len(m.admitted); j++ {
 			d := m.admitted[j].Sub(a)
@@ -115,9 +115,9 @@
 	return ""
 }
 
-// Hosts admit requests of one account, lend each other tokens, lose answers, and
-// are killed and started again, in any order. An operator counts what all of
-// them admitted: in no window is it more than rate and burst.
+// Hosts admit requests of one account, lend each other tokens, lose responses, and are
+// killed and restarted, in any order. All hosts together must not admit more than rate
+// and burst in any period.
 func TestNeverOverTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "hosts")
@@ -125,12 +125,12 @@
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
 			m.step(t)
 		}
-		must.EqOp(t, "", m.over())
+		must.EqOp(t, "", m.findExcess())
 	})
 }
 
-// The test of the test: a lender that keeps the tokens it gave away makes them
-// twice, and the model finds a window with too many requests.
+// This tests the model itself: a lender that keeps the tokens that it lends doubles
+// them, and the model must find a period with too many requests.
 func TestModelFindsDoubledTokens(t *testing.T) {
 	m := newModel(2, 10, 40)
 	m.leak = true
@@ -149,20 +149,19 @@
 	for range 20 {
 		m.take(0)
 	}
-	must.StrContains(t, m.over(), "requests in")
+	must.StrContains(t, m.findExcess(), "requests in")
 }
 
-// A host starts and has heard of no other one yet. Its callers are refused for a
-// moment; with the whole rate for itself, it and the others would admit twice
-// the rate.
-func TestNothingBeforeTheOthersAreKnown(t *testing.T) {
+// A host that has just started does not know any other host yet. It must refuse its
+// callers: with the full rate for itself, it and the others would admit twice the rate.
+func TestNothingAdmittedBeforeHostsAreKnown(t *testing.T) {
 	m := newModel(1, 100, 100)
-	m.seen[0] = 0
+	m.known[0] = 0
 	m.hosts[0] = m.host(0)
 	m.clock.Advance(time.Hour)
 	_, _, ok := m.hosts[0].Take(context.Background(), unity, 0)
 	must.False(t, ok)
-	m.seen[0] = 2
+	m.known[0] = 2
 	m.hosts[0].Refill()
 	m.take(0)
 	m.clock.Advance(time.Second)
@@ -170,9 +169,9 @@
 	must.Len(t, 1, m.admitted)
 }
 
-// One host gets all of an account's callers. It asks the others for tokens before
-// it has none left, so that callers inside the rate are not refused.
-func TestAsksInTime(t *testing.T) {
+// One host gets all callers of an account. It must ask the others for tokens before its
+// bucket is empty, so that callers inside the rate are not refused.
+func TestBorrowsBeforeBucketIsEmpty(t *testing.T) {
 	m := newModel(4, 100, 100)
 	var asked int64
 	m.hosts[0].Ask = func(_ string, n, _ int64, _ []string) bool {
@@ -198,11 +197,11 @@
 	}
 }
 
-// There are many hosts, and all callers of an account come to one that holds no
-// part of its limits. While requests wait there, it gets every token of the burst
-// from the others, so that callers inside the rate are not refused for where they
-// are, and not one more.
-func TestSmallPartsAreHandedOver(t *testing.T) {
+// All callers of an account reach one of many hosts, which holds no share of the
+// limits. While requests wait there, it must get every token of the burst from the
+// others, so that callers inside the rate are not refused because of the host that they
+// reach. It must not get more.
+func TestSmallSharesAreLent(t *testing.T) {
 	m := newModel(50, 48, 48)
 	m.clock.Advance(time.Hour)
 	for _, h := range m.hosts {
@@ -216,5 +215,5 @@
 		}
 		must.Len(t, 48, m.admitted)
 	}
-	must.EqOp(t, "", m.over())
+	must.EqOp(t, "", m.findExcess())
 }
