--- a/edge/backend_test.go
+++ b/edge/backend_test.go
@@ -11,25 +11,25 @@
 	"celeryreach.example/celeryreach/upstream"
 )
 
-// Header fields between hosts and backend servers here.
+// Header fields between hosts and backend servers in these tests.
 const (
 	hostHeader    = "From-Host"
 	backendHeader = "Answered-By"
 	limitHeader   = "Takes-Per-Second"
 )
 
-// What hosts may send to a backend server in a window: limitOverage times what its
-// limit allows, and limitSlack besides. A host counts from limitNotice after it passed
-// on an answer with a limit.
+// Bound on the requests that hosts may send to a backend server in a window:
+// limitOverage times what its limit allows, plus limitSlack. A host's requests count
+// from limitGracePeriod after it first relayed a response with a limit.
 const (
-	limitWindow  = 4 * time.Second
-	limitOverage = 1.5
-	limitSlack   = 5
-	limitNotice  = 500 * time.Millisecond
+	limitWindow      = 4 * time.Second
+	limitOverage     = 1.5
+	limitSlack       = 5
+	limitGracePeriod = 500 * time.Millisecond
 )
 
-// What hosts may send to a cold backend server in any second, which may begin before it
-// turned cold.
+// Bound on the requests that hosts may send to a cold backend server in any second,
+// including seconds that begin before it turned cold.
 const (
 	coldRate    = 10
 	coldOverage = 1.5
@@ -37,7 +37,7 @@
 	warmUp      = 3 * time.Second
 )
 
-// server stands in for a backend server that names limits and turns cold.
+// server is a fake backend server that states limits and can turn cold.
 type server struct {
 	backend backend.Backend
 	http    http.Server
@@ -45,16 +45,16 @@
 
 	mu       sync.Mutex
 	work     time.Duration
-	value    string // the header, empty for none
-	breaks   int    // of so many requests one breaks its connection
-	limits   []named
-	cold     []time.Time // when it turned cold
+	value    string // of the limit header, empty for none
+	breaks   int    // one of this many requests breaks its connection
+	limits   []limitChange
+	cold     []time.Time // the times at which it turned cold
 	arrivals []arrival
-	told     map[string]time.Time // hosts, by when they first passed a limit on
+	notified map[string]time.Time // when each host first relayed a limit
 }
 
-// named is what the backend server takes from a moment on.
-type named struct {
+// limitChange is the limit that the backend server accepts from a point in time on.
+type limitChange struct {
 	at        time.Time
 	perSecond float64
 }
@@ -64,17 +64,16 @@
 	host string
 }
 
-// ServeHTTP runs one request.
 func (s *server) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	s.mu.Lock()
-	s.arrivals = append(s.arrivals, arrival{at: wall.Now(), host: q.Header.Get(hostHeader)})
+	s.arrivals = append(s.arrivals, arrival{at: clock.Now(), host: q.Header.Get(hostHeader)})
 	d := s.work
 	broken := s.breaks > 0 && len(s.arrivals)%s.breaks == 0
 	s.mu.Unlock()
 	if broken {
 		panic(http.ErrAbortHandler)
 	}
-	wall.Sleep(d)
+	clock.Sleep(d)
 	s.mu.Lock()
 	v := s.value
 	s.mu.Unlock()
@@ -85,38 +84,39 @@
 	}
 }
 
-// name puts a value into the answers from now on. PerSecond is what that asks for.
-func (s *server) name(value string, perSecond float64) {
+// setLimit sets the limit header of future responses to value. perSecond is the limit
+// in requests per second that value requests.
+func (s *server) setLimit(value string, perSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.value = value
-	s.limits = append(s.limits, named{at: wall.Now(), perSecond: perSecond})
+	s.limits = append(s.limits, limitChange{at: clock.Now(), perSecond: perSecond})
 }
 
-// passedOn notes that a host passed an answer on.
-func (s *server) passedOn(host string, h http.Header) {
+// markNotified records that a host relayed a response.
+func (s *server) markNotified(host string, h http.Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.told[host]; !ok && h.Get(limitHeader) != "" {
-		s.told[host] = wall.Now()
+	if _, ok := s.notified[host]; !ok && h.Get(limitHeader) != "" {
+		s.notified[host] = clock.Now()
 	}
 }
 
-// arrived returns the requests in a second over the time before now.
-func (s *server) arrived(d time.Duration) float64 {
+// arrivalRate returns the requests received per second during the last d.
+func (s *server) arrivalRate(d time.Duration) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
 	for _, a := range s.arrivals {
-		if wall.Since(a.at) < d {
+		if clock.Since(a.at) < d {
 			n++
 		}
 	}
 	return float64(n) / d.Seconds()
 }
 
-// excess describes the first window in which hosts that had been told sent more than
-// the limits allow, empty if there is none. Windows count from contact after the first
+// excess describes the first window in which notified hosts sent more than the limits
+// allow, empty if there is none. Windows are checked from contact after the first
 // limit.
 func (s *server) excess(contact time.Duration) string {
 	s.mu.Lock()
@@ -126,7 +126,7 @@
 	}
 	var l []time.Time
 	for _, a := range s.arrivals {
-		if t, ok := s.told[a.host]; !ok || a.at.Before(t.Add(limitNotice)) {
+		if t, ok := s.notified[a.host]; !ok || a.at.Before(t.Add(limitGracePeriod)) {
 			continue
 		}
 		l = append(l, a.at)
@@ -142,8 +142,9 @@
 	return ""
 }
 
-// rush describes the first second in which it got more than a cold one may get.
-func (s *server) rush() string {
+// coldExcess describes the first second in which the server received more requests than
+// a cold one may, empty if there is none.
+func (s *server) coldExcess() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	from := 0
@@ -160,7 +161,7 @@
 	return ""
 }
 
-// allowed returns how many requests the limits allow between two moments.
+// allowed returns how many requests the limits allow between two points in time.
 func (s *server) allowed(from, to time.Time) float64 {
 	n := 0.0
 	v, t := math.Inf(1), from
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -1,6 +1,5 @@
-// Package edge puts together an entry host whose configuration and backend
-// servers are listed in the users' store, and which reaches every backend server
-// itself.
+// Package edge assembles an entry host that reads its configuration and list of backend
+// servers from the users' store and connects to every backend server directly.
 package edge
 
 import (
@@ -43,16 +42,16 @@
 )
 
 const (
-	// beatEvery is the time between two heartbeats to a partner. With three
-	// other hosts in the region and two of each other one it costs a host some
-	// 14 short calls a second, its own and its partners'.
-	beatEvery = time.Second
-	// hold is the silence after which a host is no longer named to callers: it
-	// may miss two heartbeats.
-	hold = 3 * time.Second
-	// listEvery is how often the list of hosts is read once it is known; new
-	// hosts announce themselves by heartbeats.
-	listEvery = 20 * time.Second
+	// heartbeatInterval is the time between two heartbeats to a partner. With three
+	// peers in its own region and two in each other region, a host takes part in about
+	// 14 short calls a second, including those that its partners start.
+	heartbeatInterval = time.Second
+	// peerTimeout is the time without a heartbeat after which a host is no longer
+	// offered to callers. A host may miss two heartbeats.
+	peerTimeout = 3 * time.Second
+	// hostListInterval is how often the list of hosts is read again once it is known.
+	// It can be long because new hosts announce themselves by heartbeats.
+	hostListInterval = 20 * time.Second
 	// dialTimeout bounds the opening of a connection to another host.
 	dialTimeout = time.Second
 
@@ -60,11 +59,12 @@
 	maxBackoff     = 5 * time.Second
 )
 
-// Edge is one entry host. The seams to the users' platform are set before Run.
+// Edge is one entry host. The exported fields that connect it to the users' platform
+// are set before Run.
 type Edge struct {
 	// Self describes this host.
 	Self member.Member
-	// Seeds are peer addresses to try before any host is known.
+	// Seeds are peer addresses to contact before any other host is known.
 	Seeds []string
 	// Clock is the host's monotonic clock.
 	Clock clockwork.Clock
@@ -74,68 +74,70 @@
 	Peers net.Listener
 	// Dial opens a connection to another host; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Config and Backends are the copies of the store's tables. Their Changed
-	// is set by Edge.
+	// Config and Backends are the local copies of the store's tables. Edge sets their
+	// Changed callbacks.
 	Config, Backends *mirror.Mirror
-	// Decode reads the configuration, nil if there is none that holds, and the
-	// failure domains that are evacuated.
+	// Decode returns the configuration, nil if the rows contain no valid one, and the
+	// set of evacuated failure domains.
 	Decode func(rows map[string]row.Row) (*config.Config, map[string]bool)
-	// DecodeBackends reads the backend servers.
+	// DecodeBackends returns the backend servers of a table.
 	DecodeBackends func(rows map[string]row.Row) []backend.Backend
-	// Announce puts this host on the store's list of hosts, Withdraw takes it
-	// off, and Listed reads the list.
+	// Announce adds this host to the list of hosts in the store, Withdraw removes it,
+	// and Listed reads the list.
 	Announce func(ctx context.Context, m member.Member) error
 	Withdraw func(ctx context.Context, m member.Member) error
 	Listed   func(ctx context.Context) ([]member.Member, error)
-	// Upstream reaches backend servers.
+	// Upstream sends requests to backend servers.
 	Upstream *upstream.Upstream
-	// Limit returns the values of the header in which a backend server names how many
-	// requests a second it takes from all hosts together.
+	// Limit returns the values of the response header in which a backend server states
+	// how many requests a second it accepts from all hosts together.
 	Limit func(h http.Header) []string
-	// Gateway serves requests. Its Load is set before Run, the rest by Edge.
+	// Gateway serves requests. Its Load is set before Run, its other fields by Edge.
 	Gateway *gateway.Gateway
-	// Contact is how long after the end of a trouble a host must again know what
-	// is in force.
+	// Contact is the time after the end of an outage within which a host must again
+	// have the current configuration and list of backend servers.
 	Contact time.Duration
-	// Evacuate is how long after its evacuation a failure domain may still get requests.
+	// Evacuate is how long after its evacuation a failure domain may still receive
+	// requests.
 	Evacuate time.Duration
-	// ColdOverage and ColdSlack make the bound of a cold backend server's rate.
+	// ColdOverage and ColdSlack define the upper bound on the request rate to a cold
+	// backend server.
 	ColdOverage, ColdSlack float64
-	// LimitOverage, LimitSlack and LimitWindow make the bound of what a backend server
-	// with a limit gets.
+	// LimitOverage, LimitSlack and LimitWindow define the upper bound on the requests
+	// to a backend server that states a limit.
 	LimitOverage, LimitSlack float64
 	LimitWindow              time.Duration
-	// RetryRatio and RetrySlack bound second tries over all hosts: so many for
-	// each first one, and so many besides at any time.
+	// RetryRatio and RetrySlack bound retries over all hosts: RetryRatio for each first
+	// try, plus RetrySlack at any time.
 	RetryRatio, RetrySlack float64
 
-	book       atomic.Pointer[ingressbook.Ingressbook]
-	leaving    atomic.Bool
-	left       chan struct{} // closed by Leave
-	listed     atomic.Bool
-	membership *membership.Membership
-	client     *peerclient.Peerclient
-	tokens     *tokens.Tokens
-	placement  *placement.Placement
-	limits     *backendlimit.Backendlimit
-	permits    *permits.Permits
-	silence    *silence.Silence
-	asking     *peerclient.Peerclient // for permits, so that heartbeats do not wait behind them
-	discovery  *discovery.Discovery
-	borrower   *borrower.Borrower
-	copier     *copier.Copier
+	book         atomic.Pointer[ingressbook.Ingressbook]
+	leaving      atomic.Bool
+	leaveStarted chan struct{} // closed by Leave
+	hostsKnown   atomic.Bool
+	membership   *membership.Membership
+	client       *peerclient.Peerclient
+	tokens       *tokens.Tokens
+	placement    *placement.Placement
+	limits       *backendlimit.Backendlimit
+	permits      *permits.Permits
+	silence      *silence.Silence
+	permitClient *peerclient.Peerclient // separate connections for permits, so that permits do not delay heartbeats
+	discovery    *discovery.Discovery
+	borrower     *borrower.Borrower
+	copier       *copier.Copier
 }
 
-// Run works until ctx ends, and serves the branch of children that serve
-// callers: it ends first.
+// Run runs the host until ctx ends. The children in serving accept requests from
+// callers and are stopped first.
 func (e *Edge) Run(ctx context.Context, serving ...child.Child) error {
 	e.assemble()
 	s := &peerserver.Peerserver{
-		Listener: e.Peers, OnBeat: e.membership.Receive, OnFetch: e.copier.Answer, OnBorrow: e.lend, OnLend: e.take,
-		OnNotify: e.notified, OnForward: refuseForward, OnPermit: e.permits.Give,
+		Listener: e.Peers, OnBeat: e.membership.Receive, OnFetch: e.copier.Answer, OnBorrow: e.giveTokens, OnLend: e.receiveTokens,
+		OnNotify: e.answerNotice, OnForward: rejectForward, OnPermit: e.permits.Give,
 	}
 	defer e.client.Close()
-	defer e.asking.Close()
+	defer e.permitClient.Close()
 	defer e.Upstream.Close()
 	return e.supervise(
 		e.branch("peers",
@@ -156,10 +158,10 @@
 	).Run(ctx)
 }
 
-// Leave makes this host go: others no longer name it to callers.
+// Leave starts the shutdown of this host: other hosts stop offering it to callers.
 func (e *Edge) Leave() {
 	if e.leaving.CompareAndSwap(false, true) {
-		close(e.left)
+		close(e.leaveStarted)
 	}
 }
 
@@ -170,33 +172,33 @@
 
 // Ready reports whether this host can serve callers.
 func (e *Edge) Ready() bool {
-	return e.book.Load() != nil && e.listed.Load() && !e.leaving.Load()
+	return e.book.Load() != nil && e.hostsKnown.Load() && !e.leaving.Load()
 }
 
-// Book returns the configuration in force, nil before the first.
+// Book returns the configuration in force, nil before the first one.
 func (e *Edge) Book() *ingressbook.Ingressbook {
 	return e.book.Load()
 }
 
 func (e *Edge) assemble() {
-	e.left = make(chan struct{})
+	e.leaveStarted = make(chan struct{})
 	e.client = &peerclient.Peerclient{Dial: e.Dial}
 	if e.Dial == nil {
 		e.client.Dial = dial
 	}
 	e.membership = &membership.Membership{
-		Clock: e.Clock, Log: e.Log, Self: e.self, Seeds: e.Seeds, Listed: e.list(),
-		Partners: partners.Partners, Interval: beatEvery, Hold: hold, Beat: e.client.Beat, Compose: e.compose, Heard: e.heard,
+		Clock: e.Clock, Log: e.Log, Self: e.self, Seeds: e.Seeds, Listed: e.cachedHostList(),
+		Partners: partners.Partners, Interval: heartbeatInterval, Hold: peerTimeout, Beat: e.client.Beat, Compose: e.composeHeartbeat, Heard: e.receiveHeartbeat,
 	}
 	e.borrower = borrower.New()
 	e.borrower.Clock, e.borrower.Self, e.borrower.Hosts = e.Clock, e.self, e.membership.Alive
 	e.borrower.Log, e.borrower.Borrow, e.borrower.Bring = e.Log, e.client.Borrow, e.client.Lend
-	e.tokens = &tokens.Tokens{Clock: e.Clock, Self: e.Self.Name, Hosts: e.hosts, Ask: e.borrower.Ask, Lend: e.borrower.Lend}
+	e.tokens = &tokens.Tokens{Clock: e.Clock, Self: e.Self.Name, Hosts: e.knownHostNames, Ask: e.borrower.Ask, Lend: e.borrower.Lend}
 	e.borrower.Received, e.borrower.Asked = e.tokens.Receive, e.tokens.Asked
-	e.limitBackends()
-	e.holdUnheard()
+	e.setUpBackendLimits()
+	e.setUpPermits()
 	e.placement = &placement.Placement{
-		Clock: e.Clock, Log: e.Log, Region: e.Self.Region, Far: far, Rate: e.rate, Limit: e.limits,
+		Clock: e.Clock, Log: e.Log, Region: e.Self.Region, Far: remoteWeight, Rate: e.coldRate, Limit: e.limits,
 		Pace: &coldpace.Coldpace{Self: e.Self.Name, Hosts: e.membership.Known, Overage: e.ColdOverage, Slack: e.ColdSlack},
 	}
 	e.discovery = &discovery.Discovery{
@@ -206,7 +208,7 @@
 	e.copier.Clock, e.copier.Log, e.copier.Fetch = e.Clock, e.Log, e.client.Fetch
 	e.copier.Mirrors = []*mirror.Mirror{e.Config, e.Backends}
 	e.watchStore()
-	e.Config.Changed = e.configured
+	e.Config.Changed = e.applyConfig
 	e.Backends.Changed = func(m map[string]row.Row, doubt time.Time) { e.discovery.Backends(e.DecodeBackends(m), doubt) }
 	g := e.Gateway
 	g.Clock, g.Log, g.Book, g.Tokens, g.Placement = e.Clock, e.Log, e.book.Load, e.tokens, e.placement
@@ -215,15 +217,15 @@
 	g.Dispatch = e.dispatch().Serve
 	g.Latency = &latency.Latency{Name: "Latency"}
 	g.Latency.Publish()
-	e.publish()
+	e.publishMetrics()
 	g.Counted = (&counter.Counter{Prefix: "Requests."}).Add
 }
 
 func (e *Edge) dispatch() *dispatch.Dispatch {
 	return &dispatch.Dispatch{
-		Clock: e.Clock, Place: e.Gateway.Place, Keep: true, Valid: e.Gateway.Valid, Confirm: confirm,
-		Upstream: e.Upstream, Hedge: newHedge(), Whole: newWhole(e.Clock),
-		Budget: &budget.Budget{Ratio: func() float64 { return e.RetryRatio * budgetPart }, Limit: e.retries},
+		Clock: e.Clock, Place: e.Gateway.Place, Keep: true, Valid: e.Gateway.Valid, Confirm: tokenAlwaysValid,
+		Upstream: e.Upstream, Hedge: newHedge(), Whole: newResponseRelay(e.Clock),
+		Budget: &budget.Budget{Ratio: func() float64 { return e.RetryRatio * retryBudgetFraction }, Limit: e.retryLimit},
 	}
 }
 
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -33,41 +33,41 @@
 )
 
 const (
-	// feedWait is the longest wait of a call of the feed.
+	// feedWait is the longest wait of one feed call.
 	feedWait = 10 * time.Second
-	// shifts is how many plays of a script are spread over one wait of a call.
-	shifts = 8
-	// startSpread is between the starts of two hosts.
-	startSpread = 83 * time.Millisecond
-	// evacuate is how long an evacuated domain may still get requests.
+	// shiftCount is how many runs of a script are spread over one feed call.
+	shiftCount = 8
+	// startInterval is the time between the starts of two hosts.
+	startInterval = 83 * time.Millisecond
+	// evacuate is how long an evacuated failure domain may still receive requests.
 	evacuate  = 5 * time.Second
 	rowKey    = "config"
-	evacuated = "evacuated/" // and the failure domain; an empty value takes it back
+	evacuated = "evacuated/" // followed by the failure domain; an empty value ends the evacuation
 )
 
-// wall is the time of the bubble in which a test runs.
-var wall = clockwork.NewRealClock()
+// clock is the real clock, which returns virtual time inside a synctest bubble.
+var clock = clockwork.NewRealClock()
 
-// world is a deployment in one process: the store's tables and the hosts.
-type world struct {
+// deployment is a deployment in one process: the store's tables and the hosts.
+type deployment struct {
 	config, backends *feedstandin.Feedstandin
-	network          *network
+	network          *memoryNetwork
 	contact          time.Duration
 	hosts            map[string]*edge.Edge
 	log              *logbuffer.Logbuffer
 	members          []member.Member
 	servers          map[string]*server
-	seed             uint64 // of the callers
-	asked            int    // how many requests callers sent
-	quit             func() // ends the callers
+	seed             uint64 // of the callers' random numbers
+	requestCount     int    // requests sent by callers
+	stopCallers      func() // stops the callers
 }
 
-func (w *world) host(name, domain, region string) *edge.Edge {
+func (w *deployment) host(name, domain, region string) *edge.Edge {
 	m := member.Member{Name: name, Incarnation: uint64(len(w.members) + 1), Domain: domain, Region: region, CallerAddress: name, PeerAddress: name}
 	w.members = append(w.members, m)
 	l := log.NewWithOptions(w.log, log.Options{Formatter: log.LogfmtFormatter})
 	return &edge.Edge{
-		Self: m, Seeds: []string{w.members[0].PeerAddress}, Clock: wall, Log: l, Peers: w.network.listen(name, region),
+		Self: m, Seeds: []string{w.members[0].PeerAddress}, Clock: clock, Log: l, Peers: w.network.listen(name, region),
 		Dial:   func(ctx context.Context, a string) (net.Conn, error) { return w.network.dial(ctx, region, a) },
 		Config: w.mirror("Config", w.config, m, l), Backends: w.mirror("Backends", w.backends, m, l),
 		Decode:         decode,
@@ -75,26 +75,27 @@
 		Announce:       func(context.Context, member.Member) error { return nil },
 		Withdraw:       func(context.Context, member.Member) error { return nil },
 		Listed:         func(context.Context) ([]member.Member, error) { return w.members, nil },
-		Upstream:       w.upstream(name, region), Limit: limitOf, Gateway: &gateway.Gateway{Load: noReport},
+		Upstream:       w.upstream(name, region), Limit: limitValues, Gateway: &gateway.Gateway{Load: noReport},
 		Contact: w.contact, Evacuate: evacuate, ColdOverage: 1.5, ColdSlack: 5, RetryRatio: 0.2, RetrySlack: 56,
 		LimitOverage: limitOverage, LimitSlack: limitSlack, LimitWindow: limitWindow,
 	}
 }
 
-// mirror follows a table of the store, which stands in the first host's region.
-func (w *world) mirror(name string, s *feedstandin.Feedstandin, m member.Member, l *log.Logger) *mirror.Mirror {
+// mirror returns a copy of a table of the store. The store is located in the first
+// host's region.
+func (w *deployment) mirror(name string, s *feedstandin.Feedstandin, m member.Member, l *log.Logger) *mirror.Mirror {
 	d := time.Duration(0)
 	if m.Region != w.members[0].Region {
-		d = w.network.way
+		d = w.network.latency
 	}
 	f := func(ctx context.Context, after uint64, wait time.Duration) ([]row.Row, uint64, error) {
-		wall.Sleep(d)
+		clock.Sleep(d)
 		r, v, err := s.Feed(ctx, m.Name, after, wait)
-		wall.Sleep(d)
+		clock.Sleep(d)
 		return r, v, err
 	}
 	return &mirror.Mirror{
-		Clock: wall, Log: l, Name: name, Wait: func() time.Duration { return feedWait }, Feed: f,
+		Clock: clock, Log: l, Name: name, Wait: func() time.Duration { return feedWait }, Feed: f,
 		Read: func(ctx context.Context) ([]row.Row, uint64, error) { return f(ctx, 0, 0) },
 	}
 }
@@ -102,7 +103,7 @@
 func decode(m map[string]row.Row) (*config.Config, map[string]bool) {
 	var c config.Config
 	if err := codec.Unmarshal(m[rowKey].Value, &c); err != nil {
-		panic(err) // the test wrote it
+		panic(err) // written by the test itself
 	}
 	z := make(map[string]bool)
 	for k, r := range m {
@@ -113,16 +114,17 @@
 	return &c, z
 }
 
-// run plays one line, and returns what is wrong. Serve has those on backend servers.
+// runCommand runs one command of a script and returns a description of the failure,
+// empty if there is none. runBackendCommand has the commands for backend servers.
 //
 //	configuration VERSION KEY...        the operator writes a version with these keys
-//	evacuate DOMAIN, return DOMAIN      the operator takes a failure domain out of use, and back
-//	silent [HOST...], answers [HOST...] the store to these hosts, or to all
-//	slow DURATION                       each answer of the store takes that long
-//	works KEY, fails KEY                at all hosts
-//	never TEXT, some TEXT               no host has logged it, one has
-//	metric NAME REGEXP                  what the metrics of the process show
-func (w *world) run(command string, a []string) (string, error) {
+//	evacuate DOMAIN, return DOMAIN      the operator starts or ends the evacuation of a failure domain
+//	silent [HOST...], answers [HOST...] the store stops or resumes responding to these hosts, or to all
+//	slow DURATION                       each response of the store takes that long
+//	works KEY, fails KEY                checks the key at all hosts
+//	never TEXT, some TEXT               checks that no host, or at least one, has logged the text
+//	metric NAME REGEXP                  checks a metric of the process
+func (w *deployment) runCommand(command string, a []string) (string, error) {
 	h := a
 	if len(h) == 0 {
 		for _, m := range w.members {
@@ -139,15 +141,15 @@
 		w.backends.Slow(d)
 		return "", err
 	case "configuration":
-		return "", w.configure(a)
+		return "", w.writeConfig(a)
 	case "evacuate":
 		w.config.Put(evacuated+a[0], []byte(a[0]))
 	case "return":
 		w.config.Put(evacuated+a[0], nil)
 	case "works", "fails":
-		return w.expect(command == "works", a[0]), nil
+		return w.hostsWithWrongKey(command == "works", a[0]), nil
 	case "metric":
-		return metric(a[0], a[1]), nil
+		return checkMetric(a[0], a[1]), nil
 	case "never":
 		return w.logged(strings.Join(a, " ")), nil
 	case "some":
@@ -155,19 +157,19 @@
 			return "no host has logged it", nil
 		}
 	default:
-		return w.serve(command, a)
+		return w.runBackendCommand(command, a)
 	}
 	return "", nil
 }
 
-// configure writes a version that has the keys of one client account.
-func (w *world) configure(a []string) error {
+// writeConfig writes a configuration version with the keys of one client account.
+func (w *deployment) writeConfig(a []string) error {
 	v, err := strconv.ParseUint(a[0], 10, 64)
 	if err != nil {
 		return errors.Wrap(err, "version")
 	}
 	c := config.Config{Version: v, Accounts: []account.Account{{Name: "unity", Rate: 100, Burst: 100}}}
-	withRoutes(&c)
+	addRoutes(&c)
 	for _, k := range a[1:] {
 		c.Keys = append(c.Keys, credential.Credential{Account: "unity", Hash: credential.Hash(k)})
 	}
@@ -176,8 +178,8 @@
 	return err
 }
 
-// logged returns the lines that have a text.
-func (w *world) logged(text string) string {
+// logged returns the log lines that contain a text.
+func (w *deployment) logged(text string) string {
 	var l []string
 	for _, s := range strings.Split(w.log.String(), "\n") {
 		if strings.Contains(s, text) {
@@ -187,8 +189,9 @@
 	return strings.Join(l, "\n")
 }
 
-// expect names the hosts at which a key does not do what it should.
-func (w *world) expect(works bool, key string) string {
+// hostsWithWrongKey returns the names of the hosts at which a key works but should not,
+// or the reverse.
+func (w *deployment) hostsWithWrongKey(works bool, key string) string {
 	var l []string
 	for n, e := range w.hosts {
 		if (e.Book() != nil && e.Book().Account(key) != nil) != works {
@@ -220,12 +223,13 @@
 	return l
 }
 
-// begin plays the lines before time starts, and returns the others. Beside those of run:
+// setUp runs the commands at time zero, before the hosts start, and returns the
+// remaining ones. It adds these commands to those of runCommand:
 //
 //	contact DURATION            the bound of the same name
-//	way DURATION                one way between regions
-//	host NAME DOMAIN REGION     the store stands in the first one's region
-func (w *world) begin(t *testing.T, l []line) []line {
+//	way DURATION                one-way latency between regions
+//	host NAME DOMAIN REGION     a host; the store is located in the first one's region
+func (w *deployment) setUp(t *testing.T, l []line) []line {
 	for l[0].at == 0 {
 		a := l[0].word
 		l = l[1:]
@@ -234,37 +238,37 @@
 		case "contact":
 			w.contact, err = time.ParseDuration(a[1])
 		case "way":
-			w.network.way, err = time.ParseDuration(a[1])
+			w.network.latency, err = time.ParseDuration(a[1])
 		case "host":
 			w.hosts[a[1]] = w.host(a[1], a[2], a[3])
 		default:
-			_, err = w.run(a[0], a[1:])
+			_, err = w.runCommand(a[0], a[1:])
 		}
 		must.NoError(t, err)
 	}
 	return l
 }
 
-// play runs a script, with what follows its start later by shift.
-func play(t *testing.T, script string, shift time.Duration, seed uint64) {
-	w := &world{
-		servers: make(map[string]*server), seed: seed, quit: func() {},
-		config: feedstandin.New(wall), backends: feedstandin.New(wall), hosts: make(map[string]*edge.Edge),
-		log: new(logbuffer.Logbuffer), network: &network{listeners: make(map[string]*listener)},
+// runScript runs a script. Every command after the setup is delayed by shift.
+func runScript(t *testing.T, script string, shift time.Duration, seed uint64) {
+	w := &deployment{
+		servers: make(map[string]*server), seed: seed, stopCallers: func() {},
+		config: feedstandin.New(clock), backends: feedstandin.New(clock), hosts: make(map[string]*edge.Edge),
+		log: new(logbuffer.Logbuffer), network: &memoryNetwork{listeners: make(map[string]*listener)},
 	}
 	w.backends.Put("c1", nil)
-	l := w.begin(t, parse(t, script))
+	l := w.setUp(t, parse(t, script))
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error)
-	begun := wall.Now()
+	begun := clock.Now()
 	for i, m := range w.members {
 		go func() {
-			wall.Sleep(time.Duration(i) * startSpread) // heartbeats are not in step
+			clock.Sleep(time.Duration(i) * startInterval) // so that hosts do not send heartbeats at the same time
 			done <- w.hosts[m.Name].Run(ctx)
 		}()
 	}
-	defer func() { // also after a failure: a bubble lasts as long as its goroutines
-		w.endServers()
+	defer func() { // also after a failure, because a bubble ends only with its last goroutine
+		w.stopServers()
 		stop()
 		for range w.hosts {
 			test.NoError(t, <-done)
@@ -272,27 +276,30 @@
 		w.network.close()
 	}()
 	for _, v := range l {
-		wall.Sleep(v.at + shift - wall.Since(begun))
-		wrong, err := w.run(v.word[0], v.word[1:])
+		clock.Sleep(v.at + shift - clock.Since(begun))
+		wrong, err := w.runCommand(v.word[0], v.word[1:])
 		must.NoError(t, err)
 		must.EqOp(t, "", wrong, must.Sprintf("%s, later by %s, seed %d", v.text, shift, seed))
 	}
 	must.EqOp(t, "", w.excess(), must.Sprintf("at the end, seed %d", seed))
 }
 
-// plays runs a script with all that follows its start later by parts of one wait of a
-// call.
-func plays(t *testing.T, name string) {
-	bubbles(t, name, shifts, func(t *testing.T, script string, i int) { play(t, script, time.Duration(i)*feedWait/shifts, 0) })
+// runShifted runs a script several times, with the commands after the setup delayed by
+// different fractions of one feed call.
+func runShifted(t *testing.T, name string) {
+	runInBubbles(t, name, shiftCount, func(t *testing.T, script string, i int) {
+		runScript(t, script, time.Duration(i)*feedWait/shiftCount, 0)
+	})
 }
 
-// playsLoads runs a script with different callers.
-func playsLoads(t *testing.T, name string) {
-	bubbles(t, name, limitSeeds, func(t *testing.T, script string, i int) { play(t, script, 0, uint64(i)) })
+// runSeeded runs a script several times, with different random callers.
+func runSeeded(t *testing.T, name string) {
+	runInBubbles(t, name, seedCount, func(t *testing.T, script string, i int) { runScript(t, script, 0, uint64(i)) })
 }
 
-// bubbles plays a script n times, each in virtual time of its own.
-func bubbles(t *testing.T, name string, n int, play func(t *testing.T, script string, i int)) {
+// runInBubbles runs a script n times, each in a synctest bubble with its own virtual
+// time.
+func runInBubbles(t *testing.T, name string, n int, play func(t *testing.T, script string, i int)) {
 	// The race detector crashes when timers of a bubble fire on several processors.
 	c := runtime.GOMAXPROCS(1)
 	t.Cleanup(func() { runtime.GOMAXPROCS(c) })
@@ -303,21 +310,25 @@
 	}
 }
 
-// A host that waits for an answer which the store will never give goes on refusing
-// good keys after the store is back.
-func TestKeysGivenAfterASilence(t *testing.T) { plays(t, "given-after-silence") }
+// Guards against a host that waits for a response the store will never send and
+// therefore keeps rejecting valid keys after the store has recovered.
+func TestKeysAddedAfterStoreOutage(t *testing.T) { runShifted(t, "given-after-silence") }
 
-// A host that the store turns away goes on serving a withdrawn key.
-func TestKeyWithdrawnInASilence(t *testing.T) { plays(t, "withdrawn-in-silence") }
+// Guards against a host that gets no responses from the store and keeps accepting a
+// revoked key.
+func TestKeyRevokedDuringStoreOutage(t *testing.T) { runShifted(t, "withdrawn-in-silence") }
 
-// Hosts of distant regions tell each other of the store's last answer until it seems
-// young for ever, so that none doubts its lost calls.
-func TestChangeBeforeAShortSilence(t *testing.T) { plays(t, "change-before-silence") }
+// Guards against hosts of distant regions that pass the age of the store's last
+// response on to each other so that it never grows, and no host detects that its calls
+// were lost.
+func TestChangeBeforeShortStoreOutage(t *testing.T) { runShifted(t, "change-before-silence") }
 
-// A store that answers is asked again by all hosts after each change, since the answers
-// of the watchers come further apart than hosts trust them for.
-func TestNoDoubtOfAStoreThatAnswers(t *testing.T) { plays(t, "changes") }
+// Guards against all hosts calling a working store again after each change. This
+// happens if the watchers' responses are further apart than the time for which hosts
+// trust them.
+func TestNoExtraRequestsWhileStoreResponds(t *testing.T) { runShifted(t, "changes") }
 
-// Hosts whose calls end before a slow store answers never hear of a change, and one
-// that starts has no configuration, although the store answers every call.
-func TestASlowStoreIsHeard(t *testing.T) { plays(t, "slow") }
+// Guards against call timeouts shorter than the response time of a slow store: hosts
+// would never receive a change, and a starting host would have no configuration,
+// although the store responds to every call.
+func TestSlowStore(t *testing.T) { runShifted(t, "slow") }
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -15,56 +15,61 @@
 )
 
 const (
-	// far is the weight of backend servers of other regions. With 0.07, regions
-	// that have few backend servers refuse more under load, with 0.3 more
-	// answers cross regions; both cost a hundredth of what callers get.
-	far = 0.15
-	// budgetPart of the users' bound on second tries is used: windows of
-	// different hosts add up.
-	budgetPart = 0.8
-	// heldBytes of an answer are held back until it is complete, so that an
-	// answer that breaks off can be asked for again. Usual answers are shorter
-	// than 32 KB.
-	heldBytes = 1 << 20
-	// readPatience is how long a caller may take for one piece of a longer
-	// answer.
-	readPatience = 5 * time.Second
-	// A second try on an idempotent request follows after twice the 95th
-	// percentile, within these bounds. At first every answer is slow, since no
-	// backend server knows an object; a second try would double that work. The
-	// least is that of an overdue request, the most what the shortest callers
-	// that wait for exports still gain from.
+	// remoteWeight is the placement weight of backend servers in other regions. With
+	// 0.07, regions with few backend servers refuse more requests under load; with 0.3,
+	// more responses cross regions. Either value costs callers about 1% of their
+	// responses.
+	remoteWeight = 0.15
+	// retryBudgetFraction of the users' bound on retries is used, because the budgets of
+	// different hosts, each counted over its own window, add up.
+	retryBudgetFraction = 0.8
+	// responseBufferBytes is how much of a response is buffered until it is complete,
+	// so that a request whose response breaks off can be retried. Usual responses are
+	// shorter than 32 KB.
+	responseBufferBytes = 1 << 20
+	// callerReadTimeout is how long a caller may take to read one chunk of a response
+	// that is too long to buffer.
+	callerReadTimeout = 5 * time.Second
+	// An idempotent request is tried a second time after twice the 95th percentile of
+	// the response time, within hedgeMin and hedgeMax. hedgeInitial applies before
+	// enough responses were measured: at first no backend server has cached an object,
+	// so every response is slow and a second try would double the work. hedgeMin is the
+	// response time from which a request counts as overdue. hedgeMax is the longest
+	// delay that still helps the callers of exports with the shortest deadlines.
 	hedgeInitial = 1500 * time.Millisecond
-	hedgeLeast   = 400 * time.Millisecond
-	hedgeMost    = 3 * time.Second
+	hedgeMin     = 400 * time.Millisecond
+	hedgeMax     = 3 * time.Second
 )
 
-// hosts returns between which hosts limits are divided, nobody before the list
-// of hosts is known: a host that has seen nobody must not take all for itself.
-func (e *Edge) hosts() []string {
-	if !e.listed.Load() {
+// knownHostNames returns the names of the hosts that share the rate limits. It returns
+// none before the list of hosts is known, because a host that has not yet seen any
+// other must not claim the complete limits.
+func (e *Edge) knownHostNames() []string {
+	if !e.hostsKnown.Load() {
 		return nil
 	}
 	return e.membership.Known()
 }
 
-// retries is how many second tries this host may make at once.
-func (e *Edge) retries() float64 {
-	return max(budgetPart*e.RetrySlack/float64(max(len(e.membership.Known()), 1)), 1)
+// retryLimit returns how many retries this host may send in a burst.
+func (e *Edge) retryLimit() float64 {
+	return max(retryBudgetFraction*e.RetrySlack/float64(max(len(e.membership.Known()), 1)), 1)
 }
 
-// members returns the hosts between which limits are divided.
-func (e *Edge) members() []member.Member {
-	if !e.listed.Load() {
+// knownHosts returns the hosts that share the rate limits, none before the list of
+// hosts is known.
+func (e *Edge) knownHosts() []member.Member {
+	if !e.hostsKnown.Load() {
 		return nil
 	}
 	return e.membership.Hosts()
 }
 
-// limitBackends holds what is sent to backend servers to the limits in their answers.
-func (e *Edge) limitBackends() {
+// setUpBackendLimits enforces the request limits that backend servers state in their
+// responses.
+func (e *Edge) setUpBackendLimits() {
 	e.limits = &backendlimit.Backendlimit{
-		Clock: e.Clock, Log: e.Log, Self: e.Self.Name, Hosts: e.members, Far: far,
+		Clock: e.Clock, Log: e.Log, Self: e.Self.Name, Hosts: e.knownHosts, Far: remoteWeight,
 		Overage: e.LimitOverage, Slack: e.LimitSlack, Window: e.LimitWindow, News: e.membership.Hurry,
 	}
 	e.Upstream.Heard = func(b backend.Backend, sent time.Time, h http.Header, served bool) {
@@ -73,9 +78,9 @@
 	e.Upstream.Repeated = e.limits.Spend
 }
 
-// rate is what a cold backend server of a service bears, and for how long it
-// is cold.
-func (e *Edge) rate(service string) (float64, time.Duration) {
+// coldRate returns how many requests a second a cold backend server of a service can
+// handle, and how long it stays cold.
+func (e *Edge) coldRate(service string) (float64, time.Duration) {
 	if b := e.book.Load(); b != nil {
 		if s := b.Service(service); s != nil {
 			return s.ColdRate, s.WarmUp
@@ -85,20 +90,20 @@
 }
 
 func (e *Edge) warmUp(service string) time.Duration {
-	_, d := e.rate(service)
+	_, d := e.coldRate(service)
 	return d
 }
 
-// confirm reports that tokens do not age: they were counted when they were
-// taken, and a paused host's bucket made none meanwhile.
-func confirm(*request.Request) bool {
+// tokenAlwaysValid reports that admission tokens do not expire. A token is counted when
+// it is taken, and the bucket of a paused host is not refilled during the pause.
+func tokenAlwaysValid(*request.Request) bool {
 	return true
 }
 
 func newHedge() *hedge.Hedge {
-	return &hedge.Hedge{Initial: hedgeInitial, Least: hedgeLeast, Most: hedgeMost}
+	return &hedge.Hedge{Initial: hedgeInitial, Least: hedgeMin, Most: hedgeMax}
 }
 
-func newWhole(c clockwork.Clock) *whole.Whole {
-	return &whole.Whole{Clock: c, Limit: heldBytes, Patience: readPatience, Unframed: true}
+func newResponseRelay(c clockwork.Clock) *whole.Whole {
+	return &whole.Whole{Clock: c, Limit: responseBufferBytes, Patience: callerReadTimeout, Unframed: true}
 }
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -28,42 +28,42 @@
 )
 
 const (
-	callerHost  = "camps.example"
-	listingPath = "/listings/"
-	listings    = "listings"
-	objects     = 60
-	patience    = 2 * time.Second
-	// limitSeeds is how many plays of a script have loads of their own.
-	limitSeeds = 2
+	callerHost     = "camps.example"
+	listingPath    = "/listings/"
+	listings       = "listings"
+	objects        = 60
+	requestTimeout = 2 * time.Second
+	// seedCount is how many runs of a script use different random callers.
+	seedCount = 2
 )
 
-// routes are those of every configuration here.
+// routes are the routes of every configuration in these tests.
 var routes = []ingress.Ingress{{
-	Name: "view", Host: callerHost, Prefix: listingPath, Timeout: patience, Objective: 400 * time.Millisecond, Priority: 2,
+	Name: "view", Host: callerHost, Prefix: listingPath, Timeout: requestTimeout, Objective: 400 * time.Millisecond, Priority: 2,
 	Portions: []portion.Portion{{Service: listings, Weight: 1}}, Attempts: 2, Public: true, Sticky: true,
 }}
 
 var services = []service.Service{{Name: listings, ColdRate: coldRate, WarmUp: warmUp}}
 
-// serve plays a line that concerns backend servers and their callers:
+// runBackendCommand runs one command for backend servers and their callers:
 //
-//	backend NAME REGION SLOTS WORK   one starts
-//	work NAME DURATION               what a request takes there
+//	backend NAME REGION SLOTS WORK   starts a backend server
+//	work NAME DURATION               sets the duration of its requests
 //	breaks NAME N                    one of N requests breaks its connection
-//	limit NAME RATE                  it takes so many requests a second; none ends that
-//	lies NAME VALUE                  it names a limit that is none; its limit stays
-//	load RATE [HOST...]              callers ask for listings, so many a second at these hosts or all
-//	arrive NAME LEAST MOST DURATION  requests a second that it got in that time
-//	limits kept                      no backend server got more than its limit allows, or a cold one
-//	cold NAME                        it turns cold, and cannot say so
-//	cold-entry NAME                  its entry in the store says that it is cold
-func (w *world) serve(command string, a []string) (string, error) {
+//	limit NAME RATE                  sets its limit in requests a second; none removes it
+//	lies NAME VALUE                  it states an invalid limit; the previous limit stays in force
+//	load RATE [HOST...]              callers request listings at this rate per second from these hosts or all
+//	arrive NAME LEAST MOST DURATION  checks the requests per second that it received in that time
+//	limits kept                      checks that no backend server received more than its limit or a cold one allows
+//	cold NAME                        it turns cold without updating its entry
+//	cold-entry NAME                  its entry in the store shows that it is cold
+func (w *deployment) runBackendCommand(command string, a []string) (string, error) {
 	switch command {
 	case "backend":
 		return "", w.startServer(a)
 	case "load":
 		r, err := strconv.ParseFloat(a[0], 64)
-		w.load(r, a[1:])
+		w.startCallers(r, a[1:])
 		return "", err
 	case "limits":
 		return w.excess(), nil
@@ -87,11 +87,11 @@
 		return "", err
 	case "limit":
 		if a[1] == "none" {
-			s.name("", math.Inf(1))
+			s.setLimit("", math.Inf(1))
 			return "", nil
 		}
 		v, err := strconv.ParseFloat(a[1], 64)
-		s.name(a[1], v)
+		s.setLimit(a[1], v)
 		return "", err
 	case "lies":
 		s.mu.Lock()
@@ -100,24 +100,24 @@
 		return "", nil
 	case "cold":
 		s.mu.Lock()
-		s.cold = append(s.cold, wall.Now())
+		s.cold = append(s.cold, clock.Now())
 		s.mu.Unlock()
 		return "", nil
 	case "cold-entry":
 		b := s.backend
 		b.ColdFor = warmUp
-		b.Revision = uint64(wall.Now().UnixNano())
-		return "", w.list(b)
+		b.Revision = uint64(clock.Now().UnixNano())
+		return "", w.writeEntry(b)
 	case "arrive":
-		return s.rate(a[1:])
+		return s.checkRate(a[1:])
 	default:
 		return "", errors.Errorf("no such command: %s", command)
 	}
 }
 
-// rate tells the requests a second that a backend server got unless they are between
-// two bounds.
-func (s *server) rate(a []string) (string, error) {
+// checkRate returns the requests per second that a backend server received, empty if
+// they are between two bounds.
+func (s *server) checkRate(a []string) (string, error) {
 	least, err := strconv.ParseFloat(a[0], 64)
 	if err != nil {
 		return "", err
@@ -127,14 +127,14 @@
 		return "", err
 	}
 	d, err := time.ParseDuration(a[2])
-	if n := s.arrived(d); n < least || n > most {
+	if n := s.arrivalRate(d); n < least || n > most {
 		return fmt.Sprintf("%.2f a second", n), err
 	}
 	return "", err
 }
 
-// startServer starts a backend server and puts it on the store's list.
-func (w *world) startServer(a []string) error {
+// startServer starts a backend server and adds its entry to the store.
+func (w *deployment) startServer(a []string) error {
 	n, err := strconv.Atoi(a[2])
 	if err != nil {
 		return err
@@ -145,17 +145,17 @@
 	}
 	s := &server{
 		backend: backend.Backend{Name: a[0], Region: a[1], Domain: a[1], Service: listings, Address: a[0] + ":80", Slots: n},
-		work:    d, told: make(map[string]time.Time), done: make(chan error, 1),
+		work:    d, notified: make(map[string]time.Time), done: make(chan error, 1),
 	}
 	s.http.Handler = s
 	l := w.network.listen(s.backend.Address, s.backend.Region)
 	go func() { s.done <- s.http.Serve(l) }()
 	w.servers[s.backend.Name] = s
-	return w.list(s.backend)
+	return w.writeEntry(s.backend)
 }
 
-// list writes the entry of a backend server.
-func (w *world) list(b backend.Backend) error {
+// writeEntry writes the entry of a backend server to the store.
+func (w *deployment) writeEntry(b backend.Backend) error {
 	v, err := codec.Marshal(b)
 	w.backends.Put(b.Name, v)
 	return err
@@ -176,9 +176,9 @@
 	return l
 }
 
-// upstream reaches backend servers for a host.
-func (w *world) upstream(host, region string) *upstream.Upstream {
-	u := upstream.New(wall, time.Second)
+// upstream returns a host's client for backend servers.
+func (w *deployment) upstream(host, region string) *upstream.Upstream {
+	u := upstream.New(clock, time.Second)
 	u.Dial = func(ctx context.Context, a string) (net.Conn, error) { return w.network.dial(ctx, region, a) }
 	u.Dress = func(h http.Header, r *request.Request, _ backend.Backend, _ time.Duration) {
 		h.Set(upstream.IDHeader, r.ID)
@@ -187,17 +187,18 @@
 	return u
 }
 
-// load lets callers ask hosts until the play ends.
-func (w *world) load(perSecond float64, hosts []string) {
+// startCallers replaces the callers by ones that send perSecond requests a second to
+// hosts until the script ends.
+func (w *deployment) startCallers(perSecond float64, hosts []string) {
 	if len(hosts) == 0 {
 		for _, m := range w.members {
 			hosts = append(hosts, m.Name)
 		}
 	}
-	w.quit()
+	w.stopCallers()
 	ctx, f := context.WithCancel(context.Background())
 	d := make(chan struct{})
-	w.quit = func() {
+	w.stopCallers = func() {
 		f()
 		<-d
 	}
@@ -207,15 +208,15 @@
 		ended := make(chan struct{})
 		n := 0
 		for ctx.Err() == nil {
-			wall.Sleep(time.Duration(r.ExpFloat64() / perSecond * float64(time.Second)))
+			clock.Sleep(time.Duration(r.ExpFloat64() / perSecond * float64(time.Second)))
 			h, o := hosts[r.IntN(len(hosts))], strconv.Itoa(r.IntN(objects))
-			w.asked++
+			w.requestCount++
 			n++
 			go func(id int) {
-				w.ask(h, o, strconv.Itoa(id))
+				w.sendRequest(h, o, strconv.Itoa(id))
 				ended <- struct{}{}
-			}(w.asked)
-			n -= drained(ended)
+			}(w.requestCount)
+			n -= countEnded(ended)
 		}
 		for ; n > 0; n-- {
 			<-ended
@@ -223,8 +224,8 @@
 	}()
 }
 
-// drained returns how many have ended.
-func drained(ended <-chan struct{}) int {
+// countEnded returns how many requests have ended, without waiting.
+func countEnded(ended <-chan struct{}) int {
 	n := 0
 	for {
 		select {
@@ -236,19 +237,19 @@
 	}
 }
 
-// ask sends one request to a host that is ready.
-func (w *world) ask(host, object, id string) {
+// sendRequest sends one request to a host if it is ready.
+func (w *deployment) sendRequest(host, object, id string) {
 	if !w.hosts[host].Ready() {
 		return
 	}
 	p := listingPath + object
 	r := &request.Request{
 		ID: id, Host: callerHost, Method: http.MethodGet, Target: p, Object: object,
-		Header: make(http.Header), Deadline: wall.Now().Add(patience),
+		Header: make(http.Header), Deadline: clock.Now().Add(requestTimeout),
 	}
 	a := httptest.NewRecorder()
 	defer func() {
-		// An answer that breaks off after its head ends in a panic.
+		// Serving panics if the response breaks off after its header.
 		v := recover()
 		if err, ok := v.(error); v != nil && (!ok || !errors.Is(err, http.ErrAbortHandler)) {
 			panic(v)
@@ -256,16 +257,16 @@
 	}()
 	w.hosts[host].Gateway.Serve(context.Background(), r, p, "", a)
 	if s := w.servers[a.Header().Get(backendHeader)]; s != nil {
-		s.passedOn(host, a.Header())
+		s.markNotified(host, a.Header())
 	}
 }
 
-// excess names the backend servers that got more than their limits allow, or than a
-// cold one may get.
-func (w *world) excess() string {
+// excess lists the backend servers that received more requests than their limit, or
+// than a cold one may.
+func (w *deployment) excess() string {
 	var l []string
 	for _, s := range w.servers {
-		for _, e := range []string{s.excess(w.contact), s.rush()} {
+		for _, e := range []string{s.excess(w.contact), s.coldExcess()} {
 			if e != "" {
 				l = append(l, e)
 			}
@@ -275,56 +276,60 @@
 	return strings.Join(l, "; ")
 }
 
-// endServers ends the callers and the backend servers.
-func (w *world) endServers() {
-	w.quit()
+// stopServers stops the callers and the backend servers.
+func (w *deployment) stopServers() {
+	w.stopCallers()
 	for _, s := range w.servers {
-		_ = s.http.Close() // its connections end with the network
+		_ = s.http.Close() // the network closes its connections
 		if err := <-s.done; !errors.Is(err, http.ErrServerClosed) {
-			panic(err) // the test's own server
+			panic(err) // the test's own server must not fail
 		}
 	}
 }
 
-// limitOf returns the values that name a limit.
-func limitOf(h http.Header) []string { return h.Values(limitHeader) }
+// limitValues returns the values of the limit header.
+func limitValues(h http.Header) []string { return h.Values(limitHeader) }
 
 func noReport(http.Header) (running, waiting int, ok bool) { return 0, 0, false }
 
-func withRoutes(c *config.Config) { c.Routes, c.Services = routes, services }
+func addRoutes(c *config.Config) { c.Routes, c.Services = routes, services }
 
-// A backend server in need names how many requests a second it takes from all hosts
-// together, and gets as many as before.
-func TestLimitOfABackendServer(t *testing.T) { playsLoads(t, "limit") }
+// Guards against an overloaded backend server that states how many requests a second it
+// accepts from all hosts together and receives as many as before.
+func TestBackendLimit(t *testing.T) { runSeeded(t, "limit") }
 
-// Hosts go on by a limit that has fallen, or keep one that has risen or was withdrawn.
-func TestLimitChanges(t *testing.T) { playsLoads(t, "limit-changes") }
+// Guards against hosts that keep using a limit after it was lowered, raised or removed.
+func TestLimitChanges(t *testing.T) { runSeeded(t, "limit-changes") }
 
-// A backend server that takes nothing gets what it did before, or nothing ever again.
-func TestLimitOfZero(t *testing.T) { playsLoads(t, "limit-zero") }
+// Guards against a backend server with a limit of zero that receives as many requests
+// as before, or none after the limit is removed.
+func TestLimitOfZero(t *testing.T) { runSeeded(t, "limit-zero") }
 
-// A value that is no limit sets one, or takes away the one before.
-func TestLimitThatIsNone(t *testing.T) { playsLoads(t, "limit-none") }
+// Guards against an invalid value that sets a limit or removes the previous one.
+func TestInvalidLimit(t *testing.T) { runSeeded(t, "limit-none") }
 
-// Second tries come on top of what a limit allows.
-func TestLimitHoldsSecondTries(t *testing.T) { playsLoads(t, "limit-second-tries") }
+// Guards against retries that are not counted towards a limit.
+func TestLimitCoversRetries(t *testing.T) { runSeeded(t, "limit-second-tries") }
 
-// Requests that are sent again on a new connection come on top of what a limit allows.
-func TestLimitHoldsBrokenConnections(t *testing.T) { playsLoads(t, "limit-breaks") }
+// Guards against requests that net/http sends again on a new connection and that are
+// not counted towards a limit.
+func TestLimitCoversTransportRetries(t *testing.T) { runSeeded(t, "limit-breaks") }
 
-// Each of many hosts sends one request, and the sum is above the limit.
-func TestLimitOverManyHosts(t *testing.T) { playsLoads(t, "limit-many-hosts") }
+// Guards against many hosts that send one request each and together exceed the limit.
+func TestLimitSharedByManyHosts(t *testing.T) { runSeeded(t, "limit-many-hosts") }
 
-// Limits of all backend servers of a service leave what they allow unused.
-func TestLimitsOfAll(t *testing.T) { playsLoads(t, "limit-everywhere") }
+// Guards against unused capacity when all backend servers of a service have limits.
+func TestLimitsOnAllBackends(t *testing.T) { runSeeded(t, "limit-everywhere") }
 
-// Backend servers of an evacuated domain turn cold while no host hears the store, also
-// when the domain is back before any does, and get what they did before.
-func TestColdInASilence(t *testing.T) {
+// Guards against full load on backend servers of an evacuated failure domain that turn
+// cold while no host receives responses from the store, also if the evacuation ends
+// before the store recovers.
+func TestColdBackendsDuringStoreOutage(t *testing.T) {
 	for _, n := range []string{"cold-in-silence", "cold-unheard"} {
-		t.Run(n, func(t *testing.T) { playsLoads(t, n) })
+		t.Run(n, func(t *testing.T) { runSeeded(t, n) })
 	}
 }
 
-// A silence in which nothing can have turned cold holds requests back.
-func TestShortSilenceHoldsNothingBack(t *testing.T) { playsLoads(t, "cold-short-silence") }
+// Guards against delayed requests in a store outage that is too short for any backend
+// server to have turned cold.
+func TestShortStoreOutageDelaysNothing(t *testing.T) { runSeeded(t, "cold-short-silence") }
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -7,33 +7,33 @@
 	"celeryreach.example/celeryreach/mirror"
 )
 
-// Names of the gauges; docs/metrics.md describes each.
+// Names of the gauges, described in docs/metrics.md.
 const (
-	gaugeConfig        = "ConfigVersion"
-	gaugeConfigStore   = "StoreAge.Config"
-	gaugeBackendsStore = "StoreAge.Backends"
-	gaugeLimited       = "BackendLimits.Limited"
-	gaugeIgnored       = "BackendLimits.Ignored"
-	gaugeUnheard       = "ChangesUnheard"
-	gaugeGranted       = "Permits.Granted"
-	gaugeDenied        = "Permits.Denied"
+	gaugeConfigVersion    = "ConfigVersion"
+	gaugeConfigStoreAge   = "StoreAge.Config"
+	gaugeBackendsStoreAge = "StoreAge.Backends"
+	gaugeLimited          = "BackendLimits.Limited"
+	gaugeIgnored          = "BackendLimits.Ignored"
+	gaugeChangesUnheard   = "ChangesUnheard"
+	gaugeGranted          = "Permits.Granted"
+	gaugeDenied           = "Permits.Denied"
 )
 
-// publish makes the metrics show the ages of the store's last answers, the limits of
-// backend servers, and permits.
-func (e *Edge) publish() {
-	metric.Metric{Name: gaugeConfigStore}.Follow(seconds(e.Config))
-	metric.Metric{Name: gaugeBackendsStore}.Follow(seconds(e.Backends))
+// publishMetrics publishes the gauges of the store's age, the limits of backend
+// servers, unreceived changes and permits.
+func (e *Edge) publishMetrics() {
+	metric.Metric{Name: gaugeConfigStoreAge}.Follow(storeAgeSeconds(e.Config))
+	metric.Metric{Name: gaugeBackendsStoreAge}.Follow(storeAgeSeconds(e.Backends))
 	metric.Metric{Name: gaugeLimited}.Follow(func() any { return e.limits.Limited() })
 	metric.Metric{Name: gaugeIgnored}.Follow(func() any { return e.limits.Ignored() })
-	metric.Metric{Name: gaugeUnheard}.Follow(func() any { return e.silence.Unheard() })
+	metric.Metric{Name: gaugeChangesUnheard}.Follow(func() any { return e.silence.Unheard() })
 	metric.Metric{Name: gaugeGranted}.Follow(func() any { return e.permits.Granted() })
 	metric.Metric{Name: gaugeDenied}.Follow(func() any { return e.permits.Denied() })
 }
 
-// seconds returns the age of the store's last answer on a table, nil before the
-// first.
-func seconds(m *mirror.Mirror) func() any {
+// storeAgeSeconds returns a function that returns the age of the store's last response
+// for a table, in seconds, or nil before the first response.
+func storeAgeSeconds(m *mirror.Mirror) func() any {
 	return func() any {
 		d, ok := storeAge(m)
 		if !ok {
@@ -43,8 +43,8 @@
 	}
 }
 
-// storeAge returns how long ago the store last answered a host that this one hears
-// on a table; ok is false if it never did.
+// storeAge returns the time since the store last responded, for this table, to this
+// host or to a host that reports to it. ok is false if it never did.
 func storeAge(m *mirror.Mirror) (d time.Duration, ok bool) {
 	a := m.Store.Age()
 	return time.Duration(a), a > 0
--- a/edge/metrics_test.go
+++ b/edge/metrics_test.go
@@ -6,14 +6,16 @@
 	"testing"
 )
 
-// The age of the store's last answer stands still, or is that of a host that has ended.
-func TestMetrics(t *testing.T) { plays(t, "metrics") }
+// Guards against a gauge of the store's age that stops growing, or that shows the age
+// of a host that has ended.
+func TestMetrics(t *testing.T) { runShifted(t, "metrics") }
 
-// metric returns the value of a metric unless it has the form.
-func metric(name, form string) string {
+// checkMetric returns the value of a metric if it does not match the regular expression
+// form, and otherwise an empty string.
+func checkMetric(name, form string) string {
 	v := expvar.Get(name)
 	if v == nil {
-		return "there is no such metric"
+		return "no such metric"
 	}
 	if s := v.String(); !regexp.MustCompile("^(" + form + ")$").MatchString(s) {
 		return s
--- a/edge/network_test.go
+++ b/edge/network_test.go
@@ -10,9 +10,10 @@
 	"github.com/pkg/errors"
 )
 
-// network connects hosts without sockets, which virtual time does not wait for.
-type network struct {
-	way time.Duration // one way between regions
+// memoryNetwork connects hosts in memory, because virtual time does not advance while a
+// goroutine waits on a socket.
+type memoryNetwork struct {
+	latency time.Duration // one way, between regions
 
 	mu        sync.Mutex
 	listeners map[string]*listener
@@ -26,7 +27,7 @@
 	once   sync.Once
 }
 
-func (n *network) listen(address, region string) *listener {
+func (n *memoryNetwork) listen(address, region string) *listener {
 	l := &listener{region: region, conns: make(chan net.Conn), closed: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -34,17 +35,17 @@
 	return l
 }
 
-// dial opens a connection from a region.
-func (n *network) dial(ctx context.Context, region, address string) (net.Conn, error) {
+// dial opens a connection from a region to an address.
+func (n *memoryNetwork) dial(ctx context.Context, region, address string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[address]
 	n.mu.Unlock()
 	if l == nil {
-		return nil, errors.Errorf("nobody listens at %s", address)
+		return nil, errors.Errorf("connection refused: no listener at %s", address)
 	}
 	d := time.Duration(0)
 	if l.region != region {
-		d = n.way
+		d = n.latency
 	}
 	a, b := net.Pipe()
 	x, y := delay(a, d), delay(b, d)
@@ -61,8 +62,9 @@
 	}
 }
 
-// close ends what hosts have left open, as the end of their processes would.
-func (n *network) close() {
+// close closes the connections that hosts have left open, as the end of their processes
+// would.
+func (n *memoryNetwork) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.conns {
@@ -86,13 +88,13 @@
 
 func (l *listener) Addr() net.Addr { return nil }
 
-// delayed is a connection whose bytes are under way for a while.
+// delayed is a connection that delivers written bytes after a latency.
 type delayed struct {
 	net.Conn
-	way  time.Duration
-	sent chan segment
-	end  chan struct{}
-	once sync.Once
+	latency time.Duration
+	sent    chan segment
+	end     chan struct{}
+	once    sync.Once
 }
 
 type segment struct {
@@ -104,12 +106,12 @@
 	if way == 0 {
 		return c
 	}
-	d := &delayed{Conn: c, way: way, sent: make(chan segment, 1024), end: make(chan struct{})}
-	go d.carry()
+	d := &delayed{Conn: c, latency: way, sent: make(chan segment, 1024), end: make(chan struct{})}
+	go d.deliver()
 	return d
 }
 
-func (d *delayed) carry() {
+func (d *delayed) deliver() {
 	for {
 		select {
 		case <-d.end:
@@ -118,7 +120,7 @@
 			select {
 			case <-d.end:
 				return
-			case <-wall.After(s.due.Sub(wall.Now())):
+			case <-clock.After(s.due.Sub(clock.Now())):
 			}
 			if _, err := d.Conn.Write(s.bytes); err != nil {
 				return // the reader has closed
@@ -131,7 +133,7 @@
 	select {
 	case <-d.end:
 		return 0, net.ErrClosed
-	case d.sent <- segment{due: wall.Now().Add(d.way), bytes: slices.Clone(b)}:
+	case d.sent <- segment{due: clock.Now().Add(d.latency), bytes: slices.Clone(b)}:
 		return len(b), nil
 	}
 }
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	announceTimeout = 2 * time.Second
-	announcePause   = 300 * time.Millisecond
+	announceTimeout    = 2 * time.Second
+	announceRetryDelay = 300 * time.Millisecond
 )
 
 func (e *Edge) self() member.Member {
@@ -28,8 +28,8 @@
 	return m
 }
 
-// Named returns the caller addresses of the hosts that callers of a region may
-// use, those of the region or, if it has none, all.
+// Named returns the caller addresses of the available hosts in a region or, if there
+// are none, of the available hosts in all regions.
 func (e *Edge) Named(region string) []string {
 	var near, all []string
 	for _, m := range append(e.membership.Alive(), e.self()) {
@@ -48,13 +48,14 @@
 	return near
 }
 
-// configured takes a change of the configuration or of the evacuations.
-func (e *Edge) configured(m map[string]row.Row, _ time.Time) {
+// applyConfig applies a change of the configuration or of the evacuated failure
+// domains.
+func (e *Edge) applyConfig(m map[string]row.Row, _ time.Time) {
 	c, z := e.Decode(m)
 	if c != nil {
 		if b := e.book.Load(); b == nil || c.Version > b.Config.Version {
 			e.book.Store(ingressbook.New(c, b, e.Clock.Now()))
-			metric.Metric{Name: gaugeConfig}.Set(float64(c.Version))
+			metric.Metric{Name: gaugeConfigVersion}.Set(float64(c.Version))
 			e.tokens.Set(c.Accounts)
 			e.Log.Info("configuration in force", "Version", c.Version, "Routes", len(c.Routes), "Accounts", len(c.Accounts))
 		}
@@ -62,39 +63,39 @@
 	e.discovery.Evacuated(z)
 }
 
-func (e *Edge) compose(h *wire.Heartbeat) {
+func (e *Edge) composeHeartbeat(h *wire.Heartbeat) {
 	h.Versions = e.copier.Versions()
 	h.BackendLimits = e.limits.Tell()
 }
 
-func (e *Edge) heard(h *wire.Heartbeat, _ time.Time) {
+func (e *Edge) receiveHeartbeat(h *wire.Heartbeat, _ time.Time) {
 	e.limits.Hear(h.GetFrom().GetName(), h.GetBackendLimits())
 	if a := h.GetFrom().GetPeerAddress(); a != "" {
-		// Whoever hears of the other hosts from one of them knows enough to
-		// take its part of the limits.
-		e.listed.Store(e.listed.Load() || len(h.GetKnown()) > 0)
+		// A host that has received the names of the other hosts from one of them can
+		// compute its share of the limits.
+		e.hostsKnown.Store(e.hostsKnown.Load() || len(h.GetKnown()) > 0)
 		e.copier.Heard(a, h.GetVersions())
 	}
 }
 
-func (e *Edge) lend(b *wire.BorrowRequest) *wire.BorrowResponse {
+func (e *Edge) giveTokens(b *wire.BorrowRequest) *wire.BorrowResponse {
 	n := e.tokens.Give(b.GetBorrower(), b.GetLimit(), int64(b.GetUnits()), int64(b.GetUrgent()))
 	return &wire.BorrowResponse{Units: uint64(n), Lender: e.Self.Name}
 }
 
-func (e *Edge) take(l *wire.Loan) {
+func (e *Edge) receiveTokens(l *wire.Loan) {
 	e.Log.Info("tokens brought", "From", l.GetLender(), "Account", l.GetLimit(), "Units", l.GetUnits())
 	e.tokens.Receive(l.GetLimit(), int64(l.GetUnits()))
 }
 
-func (e *Edge) notified(*wire.Notice) *wire.Notice {
+func (e *Edge) answerNotice(*wire.Notice) *wire.Notice {
 	return &wire.Notice{Versions: e.copier.Versions()}
 }
 
-// refuseForward answers hosts of another kind: each host here reaches backend
-// servers itself.
-func refuseForward(wire.DRPCPeer_ForwardStream) error {
-	return errors.New("this host takes no requests from other hosts")
+// rejectForward rejects forwarded requests. Only hosts of the other deployment kind
+// forward; the hosts here connect to backend servers directly.
+func rejectForward(wire.DRPCPeer_ForwardStream) error {
+	return errors.New("this host does not accept forwarded requests")
 }
 
 func dial(ctx context.Context, address string) (net.Conn, error) {
@@ -102,21 +103,22 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// announce puts this host on the store's list, and takes it off when it leaves:
-// in the end there may be no time left for a store that does not answer.
+// announce adds this host to the list of hosts in the store and removes it when the
+// host starts to leave. It does not wait for the end of the shutdown, because no time
+// may be left by then if the store does not respond.
 func (e *Edge) announce(ctx context.Context) error {
-	for !e.announced(ctx) {
+	for !e.tryAnnounce(ctx) {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-e.left:
+		case <-e.leaveStarted:
 			return nil
-		case <-e.Clock.After(announcePause):
+		case <-e.Clock.After(announceRetryDelay):
 		}
 	}
 	select {
 	case <-ctx.Done():
-	case <-e.left:
+	case <-e.leaveStarted:
 	}
 	x, f := context.WithTimeout(context.WithoutCancel(ctx), announceTimeout)
 	defer f()
@@ -126,7 +128,7 @@
 	return nil
 }
 
-func (e *Edge) announced(ctx context.Context) bool {
+func (e *Edge) tryAnnounce(ctx context.Context) bool {
 	x, f := context.WithTimeout(ctx, announceTimeout)
 	defer f()
 	err := e.Announce(x, e.Self)
@@ -136,27 +138,28 @@
 	return err == nil
 }
 
-// list reads the list of hosts until it is known, and then rarely: membership
-// asks at every Hold, and calls to the store are paid for.
-func (e *Edge) list() func(ctx context.Context) ([]member.Member, error) {
+// cachedHostList returns a function that reads the list of hosts from the store, and
+// after the first success only once per hostListInterval. Membership calls it once per
+// Hold, and calls to the store cost money.
+func (e *Edge) cachedHostList() func(ctx context.Context) ([]member.Member, error) {
 	var mu sync.Mutex
 	var last []member.Member
 	var at time.Time
 	return func(ctx context.Context) ([]member.Member, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		if !at.IsZero() && e.Clock.Since(at) < listEvery {
+		if !at.IsZero() && e.Clock.Since(at) < hostListInterval {
 			return last, nil
 		}
 		x, f := context.WithTimeout(ctx, announceTimeout)
 		defer f()
 		l, err := e.Listed(x)
 		if err != nil {
-			e.Log.Warn("list of hosts not read", "Error", err)
+			e.Log.Warn("reading the list of hosts failed", "Error", err)
 			return nil, err
 		}
 		last, at = l, e.Clock.Now()
-		e.listed.Store(true)
+		e.hostsKnown.Store(true)
 		return l, nil
 	}
 }
--- a/edge/store.go
+++ b/edge/store.go
@@ -11,48 +11,51 @@
 )
 
 const (
-	// settle is left of Contact for the call that follows a doubt: from the
-	// farthest region, of a slow store.
-	settle = 800 * time.Millisecond
-	// replyParts is the part of Contact that a call may take which does not wait.
-	// One that fell silent just before the store's return, the pause and the next
-	// call then end within Contact.
-	replyParts = 3
-	// news is how long a heartbeat that is sent at once may take inside a region,
-	// with the answer of the store that it tells of.
-	news = 400 * time.Millisecond
-	// leastWatch bounds how often a region's watcher asks.
-	leastWatch = 500 * time.Millisecond
+	// recheckMargin is the part of Contact reserved for the call that rechecks the
+	// store when its last response has become too old. It covers a call from the
+	// farthest region to a slow store.
+	recheckMargin = 800 * time.Millisecond
+	// replyTimeoutDivisor divides Contact to get the timeout of a call that does not
+	// wait for changes. A call lost just before the store recovers, the pause after it
+	// and the next call then all end within Contact.
+	replyTimeoutDivisor = 3
+	// urgentHeartbeatDelay is the time allowed for a response of the store and for the
+	// urgent heartbeat that reports it within the region.
+	urgentHeartbeatDelay = 400 * time.Millisecond
+	// minWatchInterval is the shortest wait of the watcher's calls to the store.
+	minWatchInterval = 500 * time.Millisecond
 )
 
-// watchStore lets all hosts together notice that the store has fallen silent. Each
-// host's calls wait for seconds, since calls are paid for, and a call that was open
-// when the store fell silent may never be answered. For each table one host of each
-// region asks often, and tells the others at once that the store answers. When no
-// host has had an answer for too long, all ask again.
+// watchStore lets the hosts detect together that the store has stopped responding. The
+// calls of each host wait for seconds, because calls cost money, and a call that was
+// open when the store stopped responding may never return. For each table, one host per
+// region (the watcher) calls the store often and reports each response to the other
+// hosts at once. When no host has received a response for too long, all hosts call the
+// store again.
 func (e *Edge) watchStore() {
-	t := e.Contact - settle
+	t := e.Contact - recheckMargin
 	for _, m := range []*mirror.Mirror{e.Config, e.Backends} {
 		m.Store = &freshness.Freshness{Clock: e.Clock}
-		m.Trust, m.Reply = t, e.Contact/replyParts
-		e.watch(m, t-news)
+		m.Trust, m.Reply = t, e.Contact/replyTimeoutDivisor
+		e.pollWhileWatcher(m, t-urgentHeartbeatDelay)
 	}
 }
 
-// watch makes the copy of a table ask often while this host is its watcher, so that
-// its answers are no more than often apart. A call begins later than the answer before
-// it: after a change the copy pauses.
-func (e *Edge) watch(m *mirror.Mirror, often time.Duration) {
+// pollWhileWatcher shortens the calls for a table while this host is its watcher, so
+// that responses are at most interval apart. The age of the last response is
+// subtracted, because a call may start later than the response before it: the copy
+// pauses after a change.
+func (e *Edge) pollWhileWatcher(m *mirror.Mirror, interval time.Duration) {
 	w, f := m.Wait, m.Feed
 	m.Wait = func() time.Duration {
-		if !e.watcher(m.Name) {
+		if !e.isWatcher(m.Name) {
 			return w()
 		}
-		return min(max(often-time.Duration(m.Store.Own()), leastWatch), w())
+		return min(max(interval-time.Duration(m.Store.Own()), minWatchInterval), w())
 	}
 	m.Feed = func(ctx context.Context, after uint64, d time.Duration) ([]row.Row, uint64, error) {
 		r, v, err := f(ctx, after, d)
-		if err == nil && e.watcher(m.Name) {
+		if err == nil && e.isWatcher(m.Name) {
 			m.Store.Seen()
 			e.membership.Hurry()
 		}
@@ -60,10 +63,10 @@
 	}
 }
 
-// watcher reports whether this host is the one of its region that asks for a table
-// often. While hosts disagree on who is alive there may be two, or none: then each
-// asks for itself.
-func (e *Edge) watcher(table string) bool {
+// isWatcher reports whether this host is the watcher of a table in its region. While
+// hosts disagree on which hosts are alive there may be two watchers or none; without
+// one, each host relies on its own calls.
+func (e *Edge) isWatcher(table string) bool {
 	l := []string{e.Self.Name}
 	for _, m := range e.membership.Alive() {
 		if m.Region == e.Self.Region && !m.Leaving {
