--- a/certificate/certificate.go
+++ b/certificate/certificate.go
@@ -1,17 +1,17 @@
-// Package certificate describes the certificates that settings name.
+// Package certificate describes the certificate files that the settings refer to.
 package certificate
 
-// Certificate names the files that one address uses for TLS. They are read
+// Certificate contains the paths of the TLS files of one address. The files are read
 // again when they change.
 type Certificate struct {
-	// File holds the certificate chain, PEM.
+	// File contains the certificate chain in PEM format.
 	File string
-	// KeyFile holds the private key, PEM.
+	// KeyFile contains the private key in PEM format.
 	KeyFile string
-	// AuthorityFile holds the certificate authority of the other hosts, PEM.
-	// Only the address for hosts has one.
+	// AuthorityFile contains the certificate authority of the other hosts in PEM
+	// format. It is set only for the address for hosts.
 	AuthorityFile string `json:",omitzero"`
-	// ServerName is the name that every host's certificate carries. When it is
-	// empty, a host's certificate must carry the host's IP address.
+	// ServerName is the name for which every host's certificate is valid. If it is
+	// empty, a host's certificate must be valid for the host's IP address.
 	ServerName string `json:",omitzero"`
 }
--- a/certs/certs.go
+++ b/certs/certs.go
@@ -1,5 +1,4 @@
-// Package certs keeps the certificates of one address up to date while the
-// process runs.
+// Package certs reloads the certificates of one address while the process runs.
 package certs
 
 import (
@@ -16,51 +15,52 @@
 	"celeryreach.example/celeryreach/certificate"
 )
 
-// checkEvery is the least time between two looks at the files.
-const checkEvery = time.Second
+// checkInterval is the minimum time between two checks of the files.
+const checkInterval = time.Second
 
-// Certs reads the files at handshakes, at most once in a second, so that a
-// renewed certificate is used without a restart. While the files do not fit
-// each other, as in the moment between the writing of one and of the other,
-// the former content goes on: refusing would cut every caller for a slip of an
-// operator.
+// Certs reads the certificate files during handshakes, at most once per second, so that
+// a renewed certificate is used without a restart. If the files do not match, for
+// example between the writing of a certificate and of its key, the previous contents
+// stay in use: rejecting handshakes would disconnect every caller because of an
+// operator's mistake.
 type Certs struct {
-	// Clock spaces the looks at the files.
+	// Clock times the checks of the files.
 	Clock clockwork.Clock
-	// Log receives one line for each renewal and each look that failed.
+	// Log receives one line for each renewal and for each failed check.
 	Log *log.Logger
-	// Certificate names the files.
+	// Certificate contains the paths of the files.
 	Certificate certificate.Certificate
 
-	mu      sync.Mutex
-	looked  time.Time
-	content [3]string
-	pair    tls.Certificate
-	pool    *x509.CertPool
+	mu          sync.Mutex
+	lastChecked time.Time
+	contents    [3]string
+	pair        tls.Certificate
+	pool        *x509.CertPool
 }
 
-// Load reads the files for the first time. A process must not start with
-// certificates that do not fit.
+// Load reads the files for the first time. A process must not start with certificates
+// that do not match.
 func (c *Certs) Load() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.looked = c.Clock.Now()
-	return c.read()
+	c.lastChecked = c.Clock.Now()
+	return c.reload()
 }
 
-// Server returns the configuration of an address whose clients show keys.
+// Server returns the TLS configuration of an address whose clients authenticate with
+// keys instead of certificates.
 func (c *Certs) Server() *tls.Config {
 	return c.server(tls.NoClientCert)
 }
 
-// Mutual returns the configuration of an address that only holders of a
-// certificate of the authority may use.
+// Mutual returns the TLS configuration of an address that requires a client certificate
+// issued by the authority.
 func (c *Certs) Mutual() *tls.Config {
 	return c.server(tls.RequireAndVerifyClientCert)
 }
 
-// Client returns the configuration of one connection to another host, which
-// must show a certificate for name.
+// Client returns the TLS configuration of one connection to another host, whose
+// certificate must be valid for name. Certificate.ServerName, if set, replaces name.
 func (c *Certs) Client(name string) *tls.Config {
 	p, a := c.current()
 	if c.Certificate.ServerName != "" {
@@ -79,19 +79,21 @@
 	}
 }
 
+// current returns the certificate and the authority, after checking the files if
+// checkInterval has passed.
 func (c *Certs) current() (tls.Certificate, *x509.CertPool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if n := c.Clock.Now(); n.Sub(c.looked) >= checkEvery {
-		c.looked = n
-		if err := c.read(); err != nil {
+	if n := c.Clock.Now(); n.Sub(c.lastChecked) >= checkInterval {
+		c.lastChecked = n
+		if err := c.reload(); err != nil {
 			c.Log.Warn("certificates not renewed", "File", c.Certificate.File, "Error", err)
 		}
 	}
 	return c.pair, c.pool
 }
 
-func (c *Certs) read() error {
+func (c *Certs) reload() error {
 	var t [3]string
 	for i, f := range []string{c.Certificate.File, c.Certificate.KeyFile, c.Certificate.AuthorityFile} {
 		if f == "" {
@@ -103,7 +105,7 @@
 		}
 		t[i] = string(b)
 	}
-	if t == c.content {
+	if t == c.contents {
 		return nil
 	}
 	p, err := tls.X509KeyPair([]byte(t[0]), []byte(t[1]))
@@ -112,9 +114,9 @@
 	}
 	a := x509.NewCertPool()
 	if c.Certificate.AuthorityFile != "" && !a.AppendCertsFromPEM([]byte(t[2])) {
-		return errors.Errorf("%s holds no certificate", c.Certificate.AuthorityFile)
+		return errors.Errorf("%s contains no certificate", c.Certificate.AuthorityFile)
 	}
-	c.content, c.pair, c.pool = t, p, a
+	c.contents, c.pair, c.pool = t, p, a
 	c.Log.Info("certificates read", "File", c.Certificate.File, "NotAfter", p.Leaf.NotAfter)
 	return nil
 }
--- a/certs/certs_test.go
+++ b/certs/certs_test.go
@@ -40,8 +40,8 @@
 	return r
 }
 
-// pair returns both ends of a connection. A net.Pipe would hang when both ends
-// write an alert at once.
+// pair returns both ends of a TCP connection. A net.Pipe would block when both ends
+// write an alert at the same time.
 func pair(t *testing.T) (server, client net.Conn) {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -54,9 +54,9 @@
 	return server, client
 }
 
-// meet makes one handshake and sends one byte and returns both ends'
-// errors and the serial of the server's certificate.
-func meet(t *testing.T, server, client *tls.Config) (number int64, atServer, atClient error) {
+// handshake performs one TLS handshake and transfers one byte. It returns the serial
+// number of the server's certificate and the errors of both ends.
+func handshake(t *testing.T, server, client *tls.Config) (number int64, atServer, atClient error) {
 	t.Helper()
 	a, b := pair(t)
 	x, y := tls.Server(a, server), tls.Client(b, client)
@@ -77,52 +77,52 @@
 	return number, <-d, atClient
 }
 
-// A stranger reaches the address for hosts: without a certificate, or with one
-// of an authority of its own. It gets not one byte, and a host does not talk
-// to a stranger that listens at another host's address either.
-func TestStrangerGetsNothing(t *testing.T) {
+// Guards against an untrusted client at the address for hosts, without a certificate or
+// with one of another authority: it must not receive a single byte. A host must also
+// reject an untrusted server at another host's address.
+func TestUntrustedPeerIsRejected(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	a, b := newAuthority(t), newAuthority(t)
 	h := load(t, c, write(t, a, t.TempDir()))
 	s := load(t, c, write(t, b, t.TempDir()))
-	_, e, f := meet(t, h.Mutual(), h.Client("127.0.0.1"))
+	_, e, f := handshake(t, h.Mutual(), h.Client("127.0.0.1"))
 	must.NoError(t, e)
 	must.NoError(t, f)
 	bare := h.Client("127.0.0.1")
 	bare.Certificates = nil
-	_, e, f = meet(t, h.Mutual(), bare)
+	_, e, f = handshake(t, h.Mutual(), bare)
 	must.Error(t, e)
 	must.Error(t, f)
 	forged := s.Client("127.0.0.1")
 	forged.RootCAs = bare.RootCAs
-	_, e, f = meet(t, h.Mutual(), forged)
+	_, e, f = handshake(t, h.Mutual(), forged)
 	must.Error(t, e)
 	must.Error(t, f)
-	_, _, f = meet(t, s.Mutual(), h.Client("127.0.0.1"))
+	_, _, f = handshake(t, s.Mutual(), h.Client("127.0.0.1"))
 	must.Error(t, f)
-	_, _, f = meet(t, h.Mutual(), h.Client("127.0.0.2"))
+	_, _, f = handshake(t, h.Mutual(), h.Client("127.0.0.2"))
 	must.Error(t, f)
 }
 
-// A certificate is renewed while the process runs. Between the writing of the
-// certificate and of its key the two do not fit: the former pair goes on, and
-// the new one is used once both are there.
+// Guards against failed handshakes while a certificate is renewed. Between the writing
+// of the certificate and of its key the two do not match: the previous pair must stay
+// in use until both are written.
 func TestRenewal(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	a := newAuthority(t)
 	d := t.TempDir()
 	h := load(t, c, write(t, a, d))
-	one, _, err := meet(t, h.Server(), h.Client("127.0.0.1"))
+	one, _, err := handshake(t, h.Server(), h.Client("127.0.0.1"))
 	must.NoError(t, err)
 	other := write(t, a, t.TempDir())
 	copyFile(t, other.File, filepath.Join(d, "host.pem"))
 	c.Advance(time.Minute)
-	two, _, err := meet(t, h.Server(), h.Client("127.0.0.1"))
+	two, _, err := handshake(t, h.Server(), h.Client("127.0.0.1"))
 	must.NoError(t, err)
 	must.Eq(t, one, two)
 	copyFile(t, other.KeyFile, filepath.Join(d, "key.pem"))
 	c.Advance(time.Minute)
-	three, _, err := meet(t, h.Server(), h.Client("127.0.0.1"))
+	three, _, err := handshake(t, h.Server(), h.Client("127.0.0.1"))
 	must.NoError(t, err)
 	must.NotEq(t, one, three)
 }
--- a/counter/counter.go
+++ b/counter/counter.go
@@ -1,4 +1,5 @@
-// Package counter counts how requests ended, through go-kit over expvar.
+// Package counter counts requests by outcome and publishes the counts through go-kit
+// over expvar.
 package counter
 
 import (
@@ -8,8 +9,8 @@
 	"github.com/go-kit/kit/metrics/expvar"
 )
 
-// published holds every metric of the process by name: expvar panics when a
-// name is published twice, which several hosts in one process would do.
+// published holds all metrics of the process by name, because expvar panics when a name
+// is published twice. Several hosts in one process would do that.
 var (
 	mutex     sync.Mutex
 	published = make(map[string]metrics.Counter)
@@ -17,7 +18,7 @@
 
 // Counter has one expvar counter for each outcome.
 type Counter struct {
-	// Prefix is put before the outcome to name the metric.
+	// Prefix and the outcome form the name of a metric.
 	Prefix string
 
 	mu       sync.Mutex
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,4 +1,4 @@
-// Package explain follows one request through the logs of many hosts.
+// Package explain reconstructs the handling of one request from the logs of many hosts.
 package explain
 
 import (
@@ -12,19 +12,19 @@
 	"github.com/pkg/errors"
 )
 
-// field matches one key=value of a log line; a value with blanks is quoted.
-var field = regexp.MustCompile(`([A-Za-z]+)=("(?:[^"\\]|\\.)*"|\S*)`)
+// fieldPattern matches one key=value pair of a log line. A value with spaces is quoted.
+var fieldPattern = regexp.MustCompile(`([A-Za-z]+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
-// Explain collects the lines of one request, and what the hosts that had it
-// believed meanwhile.
+// Explain collects the log lines of one request, and the preceding lines that show the
+// state of each host that handled it.
 type Explain struct {
-	// Request is the request's id.
+	// Request is the id of the request.
 	Request string
 
 	lines []line
 }
 
-// line is one line of one host's log.
+// line is one log line of one host.
 type line struct {
 	order  int
 	source string
@@ -33,9 +33,10 @@
 	fields map[string]string
 }
 
-// believed are the events that change what a host believes, and by which field
-// of a request's line they concern it; an empty one concerns all.
-var believed = map[string]string{
+// stateEvents are the messages of events that change the state of a host. Each maps to
+// the field that must match a line of the request for the event to be relevant; an
+// empty field makes the event relevant to all requests.
+var stateEvents = map[string]string{
 	"configuration in force":         "",
 	"store lost":                     "",
 	"changes may be unheard":         "",
@@ -56,29 +57,30 @@
 	"backend server is missing after an outage of the store": "Backend",
 }
 
-// Read takes the log of one source, in the order in which it was written. What
-// a collector puts before a line is left in place.
+// Read reads the log of one source, in the order in which it was written. Prefixes that
+// a log collector puts before a line are kept in the output.
 func (e *Explain) Read(source string, r io.Reader) error {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, 1<<20)
 	for s.Scan() {
 		l := line{order: len(e.lines), source: source, text: s.Text(), fields: make(map[string]string)}
-		for _, m := range field.FindAllStringSubmatch(l.text, -1) {
+		for _, m := range fieldPattern.FindAllStringSubmatch(l.text, -1) {
 			l.fields[m[1]] = strings.Trim(m[2], `"`)
 		}
 		l.msg = l.fields["msg"]
-		// A collector may put all hosts into one file; its first words tell
-		// them apart.
+		// A collector may merge the logs of all hosts into one file. The prefix then
+		// identifies the host.
 		if i := strings.Index(l.text, "time="); i > 0 {
-			l.source += " " + host(l.text[:i])
+			l.source += " " + collectorHost(l.text[:i])
 		}
 		e.lines = append(e.lines, l)
 	}
 	return errors.Wrap(s.Err(), source)
 }
 
-// host returns the last word that a collector put before a line.
-func host(prefix string) string {
+// collectorHost returns the host name from a collector's prefix, which is its last
+// word.
+func collectorHost(prefix string) string {
 	w := strings.Fields(prefix)
 	if len(w) == 0 {
 		return ""
@@ -86,8 +88,8 @@
 	return w[len(w)-1]
 }
 
-// Write tells the story: for each host that had the request, the last event of
-// each kind before its first line, and then its lines.
+// Write writes the explanation: for each host that handled the request, the last event
+// of each kind before its first line, and then its lines.
 func (e *Explain) Write(w io.Writer) error {
 	var l []line
 	for _, v := range e.lines {
@@ -103,7 +105,7 @@
 	for _, v := range l {
 		if !d[v.source] {
 			d[v.source] = true
-			if err := e.before(w, v, backends(l, v.source)); err != nil {
+			if err := e.writeStateBefore(w, v, namedBackends(l, v.source)); err != nil {
 				return err
 			}
 		}
@@ -114,12 +116,13 @@
 	return nil
 }
 
-// before tells what the host of a line believed when it came.
-func (e *Explain) before(w io.Writer, first line, about map[string]bool) error {
+// writeStateBefore writes the events that describe the host's state before its first
+// line of the request. Events of backend servers are included only for those in named.
+func (e *Explain) writeStateBefore(w io.Writer, first line, named map[string]bool) error {
 	m := make(map[string]line)
 	for _, v := range e.lines[:first.order] {
-		f, ok := believed[v.msg]
-		if v.source != first.source || !ok || f != "" && !about[v.fields[f]] {
+		f, ok := stateEvents[v.msg]
+		if v.source != first.source || !ok || f != "" && !named[v.fields[f]] {
 			continue
 		}
 		m[v.msg+v.fields["Table"]+v.fields["Backend"]] = v
@@ -141,8 +144,8 @@
 	return errors.Wrap(err, "explain")
 }
 
-// backends are those that a host's lines of the request name.
-func backends(l []line, source string) map[string]bool {
+// namedBackends returns the backend servers named in a host's lines of the request.
+func namedBackends(l []line, source string) map[string]bool {
 	r := make(map[string]bool)
 	for _, v := range l {
 		if v.source == source && v.fields["Backend"] != "" {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -13,9 +13,9 @@
 	"celeryreach.example/celeryreach/explain"
 )
 
-// Each file holds the logs of hosts, the id of a failed request in its comment's
-// last line, and what on-call is told of it: what each host believed when the
-// request came, and what it decided. UPDATE=1 writes the last anew.
+// Each file contains the logs of several hosts, the id of a failed request in the last
+// line of its comment, and the expected explanation: the state of each host when the
+// request arrived, and its decisions. UPDATE=1 rewrites the explanation.
 func TestExplain(t *testing.T) {
 	l, err := filepath.Glob("testdata/*.txtar")
 	must.NoError(t, err)
--- a/gauge/gauge.go
+++ b/gauge/gauge.go
@@ -1,4 +1,4 @@
-// Package gauge makes observations from what hosts count.
+// Package gauge derives observations of load from the counts in hosts' heartbeats.
 package gauge
 
 import (
@@ -11,55 +11,55 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// sampleEvery is the least time between two kept heartbeats of a host.
-const sampleEvery = time.Second
+// sampleInterval is the minimum time between two retained heartbeats of a host.
+const sampleInterval = time.Second
 
-// Gauge keeps the heartbeats of a short time. Slots and busy requests are the
-// hosts' own counts, not what backend servers report of themselves.
+// Gauge retains the heartbeats of a recent window. Slots and busy requests are counted
+// by the hosts themselves, not reported by backend servers.
 type Gauge struct {
-	// Clock ages the heartbeats.
+	// Clock measures the age of heartbeats.
 	Clock clockwork.Clock
-	// Window is the time over which answers and failures are counted.
+	// Window is the period over which responses and failures are counted.
 	Window time.Duration
-	// Hold is the silence after which a host's counts are left out.
+	// Hold is the time without heartbeats after which a host's counts are excluded.
 	Hold time.Duration
 
 	mu    sync.Mutex
-	hosts map[string]*source
+	hosts map[string]*hostProcess
 }
 
-// source is one process of a host.
-type source struct {
-	incarnation uint64
-	region      string
-	heard       time.Time
-	last        *wire.Heartbeat
-	samples     []sample
+// hostProcess holds the heartbeats of one process of a host.
+type hostProcess struct {
+	incarnation  uint64
+	region       string
+	lastReceived time.Time
+	latest       *wire.Heartbeat
+	samples      []sample
 }
 
 type sample struct {
-	at   time.Time
-	beat *wire.Heartbeat
+	at        time.Time
+	heartbeat *wire.Heartbeat
 }
 
-// Note takes a heartbeat, a peer's or the own one. It must not change
-// afterwards.
+// Note records a heartbeat of a peer or of this host. The heartbeat must not be
+// modified afterwards.
 func (g *Gauge) Note(h *wire.Heartbeat) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.hosts == nil {
-		g.hosts = make(map[string]*source)
+		g.hosts = make(map[string]*hostProcess)
 	}
 	s := g.hosts[h.From.Name]
 	if s == nil || s.incarnation != h.From.Incarnation {
-		s = &source{incarnation: h.From.Incarnation, region: h.From.Region}
+		s = &hostProcess{incarnation: h.From.Incarnation, region: h.From.Region}
 		g.hosts[h.From.Name] = s
 	}
 	n := g.Clock.Now()
-	s.heard = n
-	s.last = h
-	if k := len(s.samples); k == 0 || n.Sub(s.samples[k-1].at) >= sampleEvery {
-		s.samples = append(s.samples, sample{at: n, beat: h})
+	s.lastReceived = n
+	s.latest = h
+	if k := len(s.samples); k == 0 || n.Sub(s.samples[k-1].at) >= sampleInterval {
+		s.samples = append(s.samples, sample{at: n, heartbeat: h})
 	}
 	for len(s.samples) > 1 && n.Sub(s.samples[1].at) >= g.Window {
 		s.samples = s.samples[1:]
@@ -72,7 +72,7 @@
 	defer g.mu.Unlock()
 	n := g.Clock.Now()
 	for k, s := range g.hosts {
-		if n.Sub(s.heard) > g.Hold {
+		if n.Sub(s.lastReceived) > g.Hold {
 			delete(g.hosts, k)
 		}
 	}
@@ -84,7 +84,7 @@
 			t += x
 		}
 		for _, x := range regions {
-			o := g.sum(v, x)
+			o := g.observe(v, x)
 			if t > 0 {
 				o.Callers = q[x] / t
 			}
@@ -94,17 +94,18 @@
 	return r
 }
 
-// lookups returns the recent look-ups of a service's callers by home region.
+// lookups returns the number of look-ups by a service's callers within the window, by
+// home region.
 func (g *Gauge) lookups(service string) map[string]float64 {
 	r := make(map[string]float64)
 	for _, s := range g.hosts {
 		f := make(map[string]uint64)
-		for _, o := range s.samples[0].beat.Origins {
+		for _, o := range s.samples[0].heartbeat.Origins {
 			if o.Service == service {
 				f[o.Region] = o.Lookups
 			}
 		}
-		for _, o := range s.last.Origins {
+		for _, o := range s.latest.Origins {
 			if o.Service == service {
 				r[o.Region] += float64(o.Lookups - f[o.Region])
 			}
@@ -113,7 +114,8 @@
 	return r
 }
 
-func (g *Gauge) sum(service, region string) observation.Observation {
+// observe sums the counts of the hosts in a region for one service.
+func (g *Gauge) observe(service, region string) observation.Observation {
 	o := observation.Observation{Service: service, Region: region}
 	var a, f, t uint64
 	for _, s := range g.hosts {
@@ -121,7 +123,7 @@
 			continue
 		}
 		o.Alive = true
-		l, b := load(s.last, service), load(s.samples[0].beat, service)
+		l, b := findLoad(s.latest, service), findLoad(s.samples[0].heartbeat, service)
 		o.Slots += int(l.GetSlots())
 		o.Demand += float64(l.GetBusy()) + float64(l.GetWaiting())
 		a += l.GetAnswers() - b.GetAnswers()
@@ -137,7 +139,8 @@
 	return o
 }
 
-func load(h *wire.Heartbeat, service string) *wire.Load {
+// findLoad returns the load of a service in a heartbeat, nil if it has none.
+func findLoad(h *wire.Heartbeat, service string) *wire.Load {
 	for _, l := range h.GetLoads() {
 		if l.Service == service {
 			return l
--- a/gauge/gauge_test.go
+++ b/gauge/gauge_test.go
@@ -12,10 +12,10 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// A host of two in a region is replaced by a process that counts from zero,
-// and the other falls silent. The planner sees the region's slots and load as
-// the living count them, failures of the last seconds only, and no sum that
-// went backwards.
+// Guards against wrong observations when one of two hosts in a region is replaced by a
+// process that counts from zero, and the other stops sending heartbeats. The planner
+// must get the region's slots and load from the remaining host, only the failures of
+// the last seconds, and no negative differences.
 func TestObserve(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	g := &gauge.Gauge{Clock: c, Window: 10 * time.Second, Hold: 9 * time.Second}
--- a/logbuffer/logbuffer.go
+++ b/logbuffer/logbuffer.go
@@ -1,4 +1,5 @@
-// Package logbuffer keeps log lines that are read while others are written.
+// Package logbuffer collects log lines in memory and allows concurrent reads and
+// writes.
 package logbuffer
 
 import (
@@ -6,20 +7,21 @@
 	"sync"
 )
 
-// Logbuffer is a writer that keeps everything. The zero value is empty.
+// Logbuffer is an io.Writer that keeps everything written to it. The zero value is
+// empty.
 type Logbuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-// Write appends a line. It never fails.
+// Write appends b. It never fails.
 func (l *Logbuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-// String returns all lines so far.
+// String returns everything written so far.
 func (l *Logbuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/logsink/logsink.go
+++ b/logsink/logsink.go
@@ -1,4 +1,4 @@
-// Package logsink writes log lines without ever holding up whoever logs.
+// Package logsink writes log lines without blocking the code that logs.
 package logsink
 
 import (
@@ -12,18 +12,18 @@
 )
 
 const (
-	// buffered is how many lines wait for a slow reader.
-	buffered = 2048
-	// perSecond bounds the lines of a second: at 5 µs a line (go test -bench
-	// Line ./logsink) they take 0.13% of a core.
-	perSecond = 250
+	// bufferedLines is how many lines are queued for a slow reader.
+	bufferedLines = 2048
+	// maxLinesPerSecond bounds the cost of logging: at 5 µs a line (go test -bench Line
+	// ./logsink) it takes 0.13% of a core.
+	maxLinesPerSecond = 250
 )
 
-// Logsink is a writer of whole lines. Lines above its rate, and lines that a
-// blocked reader leaves no room for, are dropped and counted, and the count
-// is a line of its own.
+// Logsink is an io.Writer that expects one complete line per call. It drops and counts
+// lines above its rate limit and lines that do not fit into the queue while the reader
+// is blocked. The count is written as a log line.
 type Logsink struct {
-	// Clock counts seconds.
+	// Clock provides the seconds over which lines are counted.
 	Clock clockwork.Clock
 	// Out receives the lines.
 	Out io.Writer
@@ -36,10 +36,10 @@
 
 // New returns a Logsink that writes to out.
 func New(c clockwork.Clock, out io.Writer) *Logsink {
-	return &Logsink{Clock: c, Out: out, lines: make(chan []byte, buffered)}
+	return &Logsink{Clock: c, Out: out, lines: make(chan []byte, bufferedLines)}
 }
 
-// Write takes one line. It never blocks and never fails.
+// Write queues one line. It never blocks and never fails.
 func (l *Logsink) Write(b []byte) (int, error) {
 	if !l.admit() {
 		l.dropped.Add(1)
@@ -53,14 +53,14 @@
 	return len(b), nil
 }
 
-// Run writes until ctx ends, and then what is left.
+// Run writes queued lines until ctx ends, and then the remaining ones.
 func (l *Logsink) Run(ctx context.Context) error {
 	for {
 		select {
 		case b := <-l.lines:
-			l.put(b)
+			l.writeLine(b)
 		case <-l.Clock.After(time.Second):
-			l.report()
+			l.reportDropped()
 		case <-ctx.Done():
 			l.flush()
 			return nil
@@ -72,31 +72,32 @@
 	for {
 		select {
 		case b := <-l.lines:
-			l.put(b)
+			l.writeLine(b)
 		default:
-			l.report()
+			l.reportDropped()
 			return
 		}
 	}
 }
 
-func (l *Logsink) put(b []byte) {
-	// There is nobody to tell that the log cannot be written.
+func (l *Logsink) writeLine(b []byte) {
+	// The error is ignored because a failure of the log cannot be logged.
 	_, _ = l.Out.Write(b)
 }
 
-func (l *Logsink) report() {
+func (l *Logsink) reportDropped() {
 	if n := l.dropped.Swap(0); n > 0 {
-		l.put([]byte(fmt.Sprintf("level=warn msg=\"log lines dropped\" Lines=%d\n", n)))
+		l.writeLine([]byte(fmt.Sprintf("level=warn msg=\"log lines dropped\" Lines=%d\n", n)))
 	}
 }
 
-// admit counts a line against the rate. Two writers at the turn of a second may
-// both begin it; the bound is then off by a few lines, which does no harm.
+// admit counts a line against the rate limit. Two concurrent writers may both reset the
+// count at the start of a second; the limit is then exceeded by a few lines, which is
+// harmless.
 func (l *Logsink) admit() bool {
 	s := l.Clock.Now().Unix()
 	if o := l.second.Load(); o != s && l.second.CompareAndSwap(o, s) {
 		l.written.Store(0)
 	}
-	return l.written.Add(1) <= perSecond
+	return l.written.Add(1) <= maxLinesPerSecond
 }
--- a/logsink/logsink_test.go
+++ b/logsink/logsink_test.go
@@ -15,7 +15,8 @@
 	"celeryreach.example/celeryreach/logsink"
 )
 
-// blocked is a standard output whose reader has stopped reading.
+// blocked is a writer that blocks until open is closed, like a standard output whose
+// reader has stopped reading.
 type blocked struct {
 	mu    sync.Mutex
 	open  chan struct{}
@@ -30,8 +31,9 @@
 	return len(p), nil
 }
 
-// Nobody reads the log any more. Requests go on: writing a line never waits. When
-// the reader is back, it gets what was kept, and is told how much was not.
+// Guards against a blocked reader of the log that delays requests: writing a line must
+// never block. When the reader continues, it receives the buffered lines and the number
+// of dropped ones.
 func TestBlockedReader(t *testing.T) {
 	k := clockwork.NewFakeClock()
 	o := &blocked{open: make(chan struct{})}
@@ -54,8 +56,8 @@
 	must.StrContains(t, o.lines[len(o.lines)-1], "log lines dropped")
 }
 
-// Every request fails at once. The log keeps its bound, and says how many lines
-// it left out.
+// Guards against unlimited logging when every request fails. The log must stay within
+// its rate limit and report the number of dropped lines.
 func TestVolumeIsBounded(t *testing.T) {
 	k := clockwork.NewFakeClock()
 	var b strings.Builder
@@ -71,7 +73,7 @@
 	must.StrContains(t, b.String(), "Lines=9750")
 }
 
-// BenchmarkLine measures what a line of a failed request costs.
+// BenchmarkLine measures the cost of one log line of a failed request.
 func BenchmarkLine(b *testing.B) {
 	k := clockwork.NewRealClock()
 	l := log.NewWithOptions(logsink.New(k, new(strings.Builder)), log.Options{ReportTimestamp: true, Formatter: log.LogfmtFormatter})
--- a/metric/metric.go
+++ b/metric/metric.go
@@ -1,4 +1,4 @@
-// Package metric publishes present values over expvar, those that are set through
+// Package metric publishes gauges over expvar. Values that are set directly go through
 // go-kit.
 package metric
 
@@ -10,18 +10,17 @@
 	kit "github.com/go-kit/kit/metrics/expvar"
 )
 
-// published and followed hold every metric of the process by name: expvar panics
-// when a name is published twice, which a restarted part would do, and hosts that
-// start in one process.
+// published and callbacks hold all metrics of the process by name, because expvar
+// panics when a name is published twice. A restarted component would do that, and so
+// would several hosts in one process.
 var (
 	mutex     sync.Mutex
 	published = make(map[string]metrics.Gauge)
-	followed  = make(map[string]func() any)
+	callbacks = make(map[string]func() any)
 )
 
-// Metric is one present value.
+// Metric is one gauge.
 type Metric struct {
-	// Name is the metric's name.
 	Name string
 }
 
@@ -37,20 +36,20 @@
 	g.Set(v)
 }
 
-// Follow publishes what f returns whenever it is read. A later f takes the place of
-// one before. A name is either set or followed.
+// Follow publishes the result of f, which is called at each read of the metric. A later
+// f replaces the previous one. A metric uses either Set or Follow, not both.
 func (m Metric) Follow(f func() any) {
 	mutex.Lock()
 	defer mutex.Unlock()
-	if followed[m.Name] == nil {
+	if callbacks[m.Name] == nil {
 		expvar.Publish(m.Name, expvar.Func(m.value))
 	}
-	followed[m.Name] = f
+	callbacks[m.Name] = f
 }
 
 func (m Metric) value() any {
 	mutex.Lock()
-	f := followed[m.Name]
+	f := callbacks[m.Name]
 	mutex.Unlock()
 	return f()
 }
--- a/metric/metric_test.go
+++ b/metric/metric_test.go
@@ -9,7 +9,8 @@
 	"celeryreach.example/celeryreach/metric"
 )
 
-// A host that starts after another one in its process goes on showing that one's value.
+// Guards against a second host in a process whose metric keeps showing the value of the
+// first one.
 func TestFollow(t *testing.T) {
 	n := 1
 	m := metric.Metric{Name: t.Name()}
--- a/peerclient/peerclient.go
+++ b/peerclient/peerclient.go
@@ -12,9 +12,9 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// Peerclient keeps one connection for short calls to each address. A call that
-// fails closes it, so that the next call dials anew: a connection that has
-// gone silent costs one call.
+// Peerclient keeps one connection to each address for unary calls. A failed call closes
+// the connection, so that the next call opens a new one: a dead connection costs one
+// failed call.
 type Peerclient struct {
 	// Dial opens a connection.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
@@ -23,75 +23,74 @@
 	conns map[string]*drpcconn.Conn
 }
 
-// Beat exchanges heartbeats.
+// Beat sends a heartbeat and returns the peer's.
 func (p *Peerclient) Beat(ctx context.Context, address string, h *wire.Heartbeat) (*wire.Heartbeat, error) {
 	c, err := p.conn(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	r, err := wire.NewDRPCPeerClient(c).Beat(ctx, h)
-	p.check(address, c, err)
+	p.dropOnError(address, c, err)
 	return r, errors.Wrap(err, "heartbeat")
 }
 
-// Fetch asks a peer for newer content.
+// Fetch requests newer content from a peer.
 func (p *Peerclient) Fetch(ctx context.Context, address string, f *wire.FetchRequest) (*wire.FetchResponse, error) {
 	c, err := p.conn(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	r, err := wire.NewDRPCPeerClient(c).Fetch(ctx, f)
-	p.check(address, c, err)
+	p.dropOnError(address, c, err)
 	return r, errors.Wrap(err, "fetch")
 }
 
-// Notify tells a peer of new versions and returns the peer's.
+// Notify sends the new versions of this host to a peer and returns the peer's versions.
 func (p *Peerclient) Notify(ctx context.Context, address string, n *wire.Notice) (*wire.Notice, error) {
 	c, err := p.conn(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	r, err := wire.NewDRPCPeerClient(c).Notify(ctx, n)
-	p.check(address, c, err)
+	p.dropOnError(address, c, err)
 	return r, errors.Wrap(err, "notify")
 }
 
-// Borrow asks a peer for a loan.
+// Borrow requests a loan of tokens or slots from a peer.
 func (p *Peerclient) Borrow(ctx context.Context, address string, b *wire.BorrowRequest) (*wire.BorrowResponse, error) {
 	c, err := p.conn(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	r, err := wire.NewDRPCPeerClient(c).Borrow(ctx, b)
-	p.check(address, c, err)
+	p.dropOnError(address, c, err)
 	return r, errors.Wrap(err, "borrow")
 }
 
-// Lend brings a peer tokens. They are lost if it returns an error.
+// Lend transfers tokens to a peer. The tokens are lost if it returns an error.
 func (p *Peerclient) Lend(ctx context.Context, address string, l *wire.Loan) error {
 	c, err := p.conn(ctx, address)
 	if err != nil {
 		return err
 	}
 	_, err = wire.NewDRPCPeerClient(c).Lend(ctx, l)
-	p.check(address, c, err)
+	p.dropOnError(address, c, err)
 	return errors.Wrap(err, "lend")
 }
 
-// Permit asks a peer for a permit.
+// Permit requests a permit from a peer to send a request to a backend server.
 func (p *Peerclient) Permit(ctx context.Context, address string, q *wire.PermitRequest) (*wire.PermitResponse, error) {
 	c, err := p.conn(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	r, err := wire.NewDRPCPeerClient(c).Permit(ctx, q)
-	p.check(address, c, err)
+	p.dropOnError(address, c, err)
 	return r, errors.Wrap(err, "permit")
 }
 
-// Forward opens a stream on a connection of its own, which done closes. A drpc
-// connection carries one call at a time, and a slow answer must not hold up
-// heartbeats.
+// Forward opens a stream on a separate connection, which done closes. A drpc connection
+// carries one call at a time, and a slow response must not delay heartbeats.
 func (p *Peerclient) Forward(ctx context.Context, address string) (s wire.DRPCPeer_ForwardClient, done func(), err error) {
 	n, err := p.Dial(ctx, address)
 	if err != nil {
@@ -106,7 +105,7 @@
 	return s, func() { _ = c.Close() }, nil
 }
 
-// Close ends all connections.
+// Close closes all connections that are kept for unary calls.
 func (p *Peerclient) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,7 +140,8 @@
 	return c, nil
 }
 
-func (p *Peerclient) check(address string, c *drpcconn.Conn, err error) {
+// dropOnError closes and forgets a connection whose call failed.
+func (p *Peerclient) dropOnError(address string, c *drpcconn.Conn, err error) {
 	if err == nil {
 		return
 	}
--- a/peerserver/peerserver.go
+++ b/peerserver/peerserver.go
@@ -1,4 +1,4 @@
-// Package peerserver answers other hosts over drpc.
+// Package peerserver serves the calls of other hosts over drpc.
 package peerserver
 
 import (
@@ -14,21 +14,22 @@
 
 // Peerserver serves the calls of other hosts.
 type Peerserver struct {
-	// Listener accepts their connections. Run closes it.
+	// Listener accepts connections of other hosts. Run closes it.
 	Listener net.Listener
-	// OnBeat answers heartbeats.
+	// OnBeat handles heartbeats.
 	OnBeat func(h *wire.Heartbeat) *wire.Heartbeat
-	// OnFetch answers questions for newer content.
+	// OnFetch handles requests for newer content.
 	OnFetch func(f *wire.FetchRequest) *wire.FetchResponse
-	// OnBorrow answers requests for loans.
+	// OnBorrow handles requests for loans of tokens or slots.
 	OnBorrow func(b *wire.BorrowRequest) *wire.BorrowResponse
-	// OnLend takes tokens that this host asked for before; nil takes none.
+	// OnLend receives tokens that this host requested earlier; nil rejects them.
 	OnLend func(l *wire.Loan)
-	// OnNotify answers notices of new versions.
+	// OnNotify handles notices of new versions.
 	OnNotify func(n *wire.Notice) *wire.Notice
-	// OnPermit answers requests for permits; nil gives none.
+	// OnPermit handles requests for permits to send a request to a backend server; nil
+	// rejects them.
 	OnPermit func(q *wire.PermitRequest) *wire.PermitResponse
-	// OnForward runs forwarded requests.
+	// OnForward handles forwarded requests.
 	OnForward func(s wire.DRPCPeer_ForwardStream) error
 }
 
@@ -45,44 +46,44 @@
 	return errors.Wrap(err, "serve peers")
 }
 
-// Beat answers a heartbeat.
+// Beat handles a heartbeat.
 func (p *Peerserver) Beat(_ context.Context, h *wire.Heartbeat) (*wire.Heartbeat, error) {
 	return p.OnBeat(h), nil
 }
 
-// Fetch answers a question for newer content.
+// Fetch handles a request for newer content.
 func (p *Peerserver) Fetch(_ context.Context, f *wire.FetchRequest) (*wire.FetchResponse, error) {
 	return p.OnFetch(f), nil
 }
 
-// Borrow answers a request for a loan.
+// Borrow handles a request for a loan of tokens or slots.
 func (p *Peerserver) Borrow(_ context.Context, b *wire.BorrowRequest) (*wire.BorrowResponse, error) {
 	return p.OnBorrow(b), nil
 }
 
-// Lend takes tokens.
+// Lend receives tokens that this host requested earlier.
 func (p *Peerserver) Lend(_ context.Context, l *wire.Loan) (*wire.LoanTaken, error) {
 	if p.OnLend == nil {
-		return nil, errors.New("this host borrows no tokens")
+		return nil, errors.New("this host does not borrow tokens")
 	}
 	p.OnLend(l)
 	return &wire.LoanTaken{}, nil
 }
 
-// Notify answers a notice of new versions.
+// Notify handles a notice of new versions.
 func (p *Peerserver) Notify(_ context.Context, n *wire.Notice) (*wire.Notice, error) {
 	return p.OnNotify(n), nil
 }
 
-// Permit answers a request for a permit.
+// Permit handles a request for a permit.
 func (p *Peerserver) Permit(_ context.Context, q *wire.PermitRequest) (*wire.PermitResponse, error) {
 	if p.OnPermit == nil {
-		return nil, errors.New("this host gives no permits")
+		return nil, errors.New("this host does not grant permits")
 	}
 	return p.OnPermit(q), nil
 }
 
-// Forward runs a forwarded request.
+// Forward handles a forwarded request.
 func (p *Peerserver) Forward(s wire.DRPCPeer_ForwardStream) error {
 	return p.OnForward(s)
 }
--- a/trail/trail.go
+++ b/trail/trail.go
@@ -1,5 +1,5 @@
-// Package trail keeps the decisions on one request until it is known whether
-// anybody will want to read them.
+// Package trail buffers the log entries of one request until it is known whether they
+// need to be logged.
 package trail
 
 import (
@@ -9,12 +9,12 @@
 	"github.com/charmbracelet/log"
 )
 
-// maxSteps bounds what is kept of one request: two tries have eight.
+// maxSteps bounds the entries kept for one request. A request with two tries has eight.
 const maxSteps = 16
 
-// Trail is the decisions in their order. Logged at once, those on requests that
-// went well would be nearly all lines; kept, they cost memory for as long as the
-// request lives. A nil Trail keeps nothing.
+// Trail is the list of decisions made for one request, in order. Logged immediately,
+// the decisions for successful requests would make up nearly all log lines; buffered,
+// they use memory only while the request is handled. A nil Trail records nothing.
 type Trail struct {
 	mu    sync.Mutex
 	steps []step
@@ -26,7 +26,7 @@
 	fields []any
 }
 
-// Add notes a decision with what decided it.
+// Add records a decision and, in fields, the values that it was based on.
 func (t *Trail) Add(at time.Time, text string, fields ...any) {
 	if t == nil {
 		return
@@ -38,8 +38,8 @@
 	}
 }
 
-// Write logs one line for each decision. Ago is how long before the line the
-// decision was taken.
+// Write logs one line for each decision and clears the trail. The field Ago is the time
+// between the decision and the log line.
 func (t *Trail) Write(l *log.Logger, request string, now time.Time) {
 	if t == nil {
 		return
