--- a/queue/account.go
+++ b/queue/account.go
@@ -8,32 +8,32 @@
 	"celeryreach.example/celeryreach/slot"
 )
 
-// account is the line of one client account, a list that gives up a request at
-// any place in constant time.
-type account struct {
-	weight  float64
-	virtual float64
-	hold    float64
-	flow    flow
-	// overloaded accounts are served newest first.
+// accountQueue is the queue of one client account: a doubly linked list from
+// which any request is removed in constant time.
+type accountQueue struct {
+	weight      float64
+	virtualTime float64
+	meanHold    float64
+	netArrivals netArrivals
+	// overloaded is true while the newest request is served first.
 	overloaded bool
 	waiting    int
 	oldest     *waiter
 	latest     *waiter
-	// index is the place in the heap, -1 when nothing waits.
+	// index is the position in the class's heap, -1 if no request waits.
 	index int
 }
 
-// waiter is one waiting request. It is in line as long as line is set; the
-// decision is made by taking it out, under the queue's lock, so that no request
-// is both granted and refused.
+// waiter is one queued request. It is in the queue while account is set. A
+// decision is made by removing it under the queue's lock, so that no request is
+// both granted and refused.
 type waiter struct {
-	ctx      context.Context //nolint:containedctx // asked when its turn comes
+	ctx      context.Context //nolint:containedctx // checked before a slot is granted
 	entered  time.Time
 	deadline time.Time
 	decision chan decision
 	class    *class
-	line     *account
+	account  *accountQueue
 	older    *waiter
 	newer    *waiter
 }
@@ -44,7 +44,7 @@
 }
 
 // first returns the request to serve next.
-func (a *account) first(newest bool) *waiter {
+func (a *accountQueue) first(newest bool) *waiter {
 	if newest {
 		return a.latest
 	}
@@ -52,20 +52,20 @@
 }
 
 // last returns the request that would be served last.
-func (a *account) last(newest bool) *waiter {
+func (a *accountQueue) last(newest bool) *waiter {
 	return a.first(!newest)
 }
 
-// behind returns the request to serve after w.
-func (w *waiter) behind(newest bool) *waiter {
+// next returns the request to serve after w.
+func (w *waiter) next(newest bool) *waiter {
 	if newest {
 		return w.older
 	}
 	return w.newer
 }
 
-func (a *account) push(w *waiter) {
-	w.line = a
+func (a *accountQueue) push(w *waiter) {
+	w.account = a
 	w.older = a.latest
 	if a.latest != nil {
 		a.latest.newer = w
@@ -76,7 +76,7 @@
 	a.waiting++
 }
 
-func (a *account) remove(w *waiter) {
+func (a *accountQueue) remove(w *waiter) {
 	if w.older != nil {
 		w.older.newer = w.newer
 	} else {
@@ -87,16 +87,16 @@
 	} else {
 		a.latest = w.older
 	}
-	w.line = nil
+	w.account = nil
 	w.older = nil
 	w.newer = nil
 	a.waiting--
 }
 
-func (a *account) learn(t float64) {
-	if a.hold == 0 {
-		a.hold = t
+func (a *accountQueue) addHold(t float64) {
+	if a.meanHold == 0 {
+		a.meanHold = t
 		return
 	}
-	a.hold += smoothing * (t - a.hold)
+	a.meanHold += smoothing * (t - a.meanHold)
 }
--- a/queue/class.go
+++ b/queue/class.go
@@ -4,112 +4,114 @@
 
 // class is a set of accounts that share slots by start-time fair queueing. Each
 // account has a virtual time that grows with the slot time it used, divided by
-// its weight; the account that is furthest behind is served next. An account
-// that sends many requests only waits longer itself.
+// its weight; the account with the lowest virtual time is served next. An
+// account that sends many requests increases only its own waiting time.
 type class struct {
-	waiting  int
-	weights  float64
-	virtual  float64
-	known    map[string]*account
-	estimate estimate
-	// accounts are those with waiting requests.
-	accounts accounts
+	waiting     int
+	totalWeight float64
+	virtualTime float64
+	byName      map[string]*accountQueue
+	estimate    estimate
+	// waitingAccounts are the accounts with waiting requests.
+	waitingAccounts accountHeap
 }
 
-func (c *class) account(name string, weight float64) *account {
-	a := c.known[name]
+func (c *class) account(name string, weight float64) *accountQueue {
+	a := c.byName[name]
 	if a == nil {
-		if c.known == nil {
-			c.known = make(map[string]*account)
+		if c.byName == nil {
+			c.byName = make(map[string]*accountQueue)
 		}
-		a = &account{weight: weight, index: -1}
-		c.known[name] = a
+		a = &accountQueue{weight: weight, index: -1}
+		c.byName[name] = a
 	}
 	if a.index < 0 {
-		// While an account waits its weight stays, so that weights adds up.
+		// The weight of an account with waiting requests does not change, so that
+		// totalWeight stays the sum.
 		a.weight = weight
 	}
 	return a
 }
 
-func (c *class) push(a *account, w *waiter) {
+func (c *class) push(a *accountQueue, w *waiter) {
 	w.class = c
 	a.push(w)
 	c.waiting++
 	if a.index >= 0 {
 		return
 	}
-	// An account that was idle has no claim on the slots of that time, else it
-	// would shut out the others after its return.
-	a.virtual = max(a.virtual, c.virtual)
-	c.weights += a.weight
-	heap.Push(&c.accounts, a)
+	// An account gets no credit for the time that it was idle; otherwise it
+	// would starve the others after its return.
+	a.virtualTime = max(a.virtualTime, c.virtualTime)
+	c.totalWeight += a.weight
+	heap.Push(&c.waitingAccounts, a)
 }
 
 func (c *class) remove(w *waiter) {
-	a := w.line
+	a := w.account
 	a.remove(w)
 	c.waiting--
 	if a.waiting > 0 {
 		return
 	}
-	heap.Remove(&c.accounts, a.index)
-	c.weights -= a.weight
-	if len(c.accounts) == 0 {
-		c.weights = 0 // removes what rounding left
+	heap.Remove(&c.waitingAccounts, a.index)
+	c.totalWeight -= a.weight
+	if len(c.waitingAccounts) == 0 {
+		c.totalWeight = 0 // clears rounding errors
 	}
 }
 
-func (c *class) first() *account {
-	return c.accounts[0]
+func (c *class) first() *accountQueue {
+	return c.waitingAccounts[0]
 }
 
-// charge adds the slot time that a request will probably take and returns it.
-func (c *class) charge(a *account) float64 {
-	p := a.hold
+// charge adds the expected slot time of a request to the account and returns
+// it.
+func (c *class) charge(a *accountQueue) float64 {
+	p := a.meanHold
 	if p == 0 {
-		p = c.estimate.hold
+		p = c.estimate.meanHold
 	}
 	if p == 0 {
-		p = nominalHold
+		p = initialHoldSeconds
 	}
-	c.virtual = max(c.virtual, a.virtual)
-	c.correct(a, p)
+	c.virtualTime = max(c.virtualTime, a.virtualTime)
+	c.addVirtualTime(a, p)
 	return p
 }
 
-func (c *class) correct(a *account, t float64) {
-	a.virtual += t / a.weight
+func (c *class) addVirtualTime(a *accountQueue, t float64) {
+	a.virtualTime += t / a.weight
 	if a.index >= 0 {
-		heap.Fix(&c.accounts, a.index)
+		heap.Fix(&c.waitingAccounts, a.index)
 	}
 }
 
-// accounts is a heap by virtual time.
-type accounts []*account
+// accountHeap is a heap ordered by virtual time.
+type accountHeap []*accountQueue
 
-// Len is part of heap.Interface.
-func (s accounts) Len() int { return len(s) }
+// Len implements heap.Interface.
+func (s accountHeap) Len() int { return len(s) }
 
-// Less is part of heap.Interface.
-func (s accounts) Less(i, j int) bool { return s[i].virtual < s[j].virtual }
+// Less implements heap.Interface.
+func (s accountHeap) Less(i, j int) bool { return s[i].virtualTime < s[j].virtualTime }
 
-// Swap is part of heap.Interface.
-func (s accounts) Swap(i, j int) {
+// Swap implements heap.Interface.
+func (s accountHeap) Swap(i, j int) {
 	s[i], s[j] = s[j], s[i]
 	s[i].index = i
 	s[j].index = j
 }
 
-// Push is part of heap.Interface.
-func (s *accounts) Push(x any) {
-	a := x.(*account)
+// Push implements heap.Interface.
+func (s *accountHeap) Push(x any) {
+	a := x.(*accountQueue)
 	a.index = len(*s)
 	*s = append(*s, a)
 }
 
-// Pop is part of heap.Interface.
-func (s *accounts) Pop() any {
+// Pop implements heap.Interface.
+func (s *accountHeap) Pop() any {
 	o := *s
 	a := o[len(o)-1]
 	o[len(o)-1] = nil
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,6 +1,6 @@
-// Package queue is the line of requests that wait for a slot of a service. It
-// is fair between client accounts, keeps deadlines, and gives every request one
-// decision: granted, or refused before it ran.
+// Package queue implements the queue of requests that wait for a slot of a
+// service. It shares slots fairly between client accounts, observes deadlines,
+// and makes one decision for every request: granted, or refused before it ran.
 package queue
 
 import (
@@ -16,28 +16,31 @@
 	"celeryreach.example/celeryreach/slot"
 )
 
-// Queue hands the slots of one service to waiting requests. All fields are set
+// Queue grants the slots of one service to waiting requests. All fields are set
 // before first use; only Clock, Acquire and Limit are required.
 type Queue struct {
-	// Clock measures the waiting.
+	// Clock is the time source.
 	Clock clockwork.Clock
 	// Acquire takes a free slot, if there is one.
 	Acquire func() (slot.Slot, bool)
-	// Borrowed takes a slot that a sibling lent for at least until a time; nil
-	// means that nobody lends.
+	// Borrowed takes a slot that another host of the failure domain lent until
+	// at least the given time; nil disables borrowing.
 	Borrowed func(until time.Time) (slot.Slot, bool)
-	// Limit is the number of waiting requests from which on an account may
-	// only keep its fair part of the line. There are never more than 2*Limit.
+	// Limit is the number of waiting requests above which an account may only
+	// keep its fair share of the queue. There are never more than 2*Limit.
 	Limit int
-	// Weight returns an account's part of a contended queue; nil means one.
+	// Weight returns an account's weight in the sharing of slots; nil means one
+	// for every account.
 	Weight func(account string) float64
-	// Ahead is the queue of another service that uses the same backend
-	// servers and goes first; nil means that this queue has its own.
+	// Ahead is the queue of another service that uses the same backend servers
+	// and takes precedence; nil means that this queue has backend servers of its
+	// own.
 	Ahead *Queue
-	// Slots returns how many slots this host may use now; nil means unknown.
+	// Slots returns the number of slots that this host may use now; nil means
+	// unknown.
 	Slots func() int
-	// Patience is the waiting time of an account's oldest request from which
-	// on its newest is served first; zero means never.
+	// Patience is the waiting time of an account's oldest request above which
+	// its newest request is served first; zero means never.
 	Patience time.Duration
 
 	mu       sync.Mutex
@@ -45,9 +48,10 @@
 	deferred class
 }
 
-// Wait returns a slot, or the outcome that says why there is none. It holds a
-// slot only if the outcome's text is empty. Behind another queue a request is
-// served only when none waits there, and on no more than half of the slots.
+// Wait waits up to d for a slot. It returns a slot if the outcome's text is
+// empty, otherwise the reason for the refusal. With Ahead set, a request is
+// served only when none waits in that queue, and on no more than half of the
+// slots.
 func (q *Queue) Wait(ctx context.Context, account string, d time.Duration) (slot.Slot, outcome.Outcome) {
 	if q.Ahead != nil {
 		return q.Ahead.wait(ctx, &q.Ahead.deferred, account, d)
@@ -55,8 +59,8 @@
 	return q.wait(ctx, &q.urgent, account, d)
 }
 
-// Enter is Wait for simulations, which cannot block: decided returns the
-// decision once there is one, and leave takes the request out of the line.
+// Enter is a non-blocking Wait for simulations: decided returns the decision
+// once there is one, and leave removes the request from the queue.
 func (q *Queue) Enter(ctx context.Context, account string, d time.Duration) (decided func() (slot.Slot, outcome.Outcome, bool), leave func()) {
 	w := q.enter(ctx, &q.urgent, account, d)
 	decided = func() (slot.Slot, outcome.Outcome, bool) {
@@ -70,15 +74,16 @@
 	leave = func() {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		if w.line != nil {
-			w.line.flow.add(-1, q.Clock.Now())
+		if w.account != nil {
+			w.account.netArrivals.add(-1, q.Clock.Now())
 			w.class.remove(w)
 		}
 	}
 	return decided, leave
 }
 
-// Kick hands out free slots. Whoever frees a slot calls it.
+// Kick grants free slots to waiting requests. It must be called whenever a slot
+// is freed.
 func (q *Queue) Kick() {
 	if q.Ahead != nil {
 		q.Ahead.Kick()
@@ -86,30 +91,31 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.kick()
+	q.grantFree()
 }
 
-// Sweep hands out free slots and refuses what can no longer be served in time.
-// It is called at regular intervals, for the times when nothing else happens:
-// without it, requests behind backend servers that went silent would be
-// refused only at their own deadlines.
+// Sweep grants free slots and refuses requests that can no longer be served in
+// time. It must be called at regular intervals: when backend servers stop
+// responding, no other event occurs, and the requests would be refused only at
+// their own deadlines.
 func (q *Queue) Sweep() {
 	if q.Ahead != nil {
-		return // the queue ahead does it
+		return // included in the sweep of the queue ahead
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.kick()
+	q.grantFree()
 	n := q.Clock.Now()
 	for _, c := range []*class{&q.urgent, &q.deferred} {
-		// A copy, since an account without requests leaves the heap.
-		for _, a := range slices.Clone(c.accounts) {
-			q.sweep(c, a, n)
+		// A copy, because accounts without requests are removed from the heap.
+		for _, a := range slices.Clone(c.waitingAccounts) {
+			q.refuseLate(c, a, n)
 		}
 	}
 }
 
-// Waiting returns the number of waiting requests.
+// Waiting returns the number of waiting requests, with Ahead set those of both
+// queues.
 func (q *Queue) Waiting() int {
 	if q.Ahead != nil {
 		return q.Ahead.Waiting()
@@ -133,18 +139,18 @@
 	}
 }
 
-// enter puts a request into the line. The decision may be there on return.
+// enter adds a request to the queue. The decision may have been made on return.
 func (q *Queue) enter(ctx context.Context, c *class, name string, d time.Duration) *waiter {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n := q.Clock.Now()
 	a := c.account(name, q.weight(name))
 	if t, ok := ctx.Deadline(); ok {
-		// A slot that comes later than this comes too late for an answer. At
-		// least half of the time is for waiting: if what was learned is wrong
-		// by now, only requests that run can correct it.
+		// A slot that is granted later leaves too little time for an answer. At
+		// least half of the time is available for waiting: if the learned hold
+		// time is outdated, only requests that run can correct it.
 		l := t.Sub(n)
-		d = min(d, l-min(seconds(a.hold/2), l/2))
+		d = min(d, l-min(seconds(a.meanHold/2), l/2))
 	}
 	w := &waiter{ctx: ctx, entered: n, deadline: n.Add(d), decision: make(chan decision, 1)}
 	if d <= 0 {
@@ -152,37 +158,38 @@
 		return w
 	}
 	if c.waiting == 0 {
-		c.estimate.began = n
+		c.estimate.nonEmptySince = n
 	}
 	c.push(a, w)
-	a.flow.add(1, n)
-	q.kick()
-	if w.line != nil && q.full(c, a) {
-		q.refuse(c, a.last(q.newest(a, n)), n, "the queue is full")
+	a.netArrivals.add(1, n)
+	q.grantFree()
+	if w.account != nil && q.full(c, a) {
+		q.refuse(c, a.last(q.newestFirst(a, n)), n, "the queue is full")
 	}
-	q.giveUp(c, a, n)
+	q.refuseLateTail(c, a, n)
 	return w
 }
 
-// full reports whether an account may have no more requests in the line. Urgent
-// and deferred requests have a limit each, and together never more than two.
-func (q *Queue) full(c *class, a *account) bool {
+// full reports whether an account has too many requests in the queue. Urgent
+// and deferred requests have a limit of Limit each, and there are never more
+// than 2*Limit in total.
+func (q *Queue) full(c *class, a *accountQueue) bool {
 	if q.urgent.waiting+q.deferred.waiting > 2*q.Limit {
 		return true
 	}
-	return c.waiting > q.Limit && float64(a.waiting) > float64(q.Limit)*a.weight/c.weights
+	return c.waiting > q.Limit && float64(a.waiting) > float64(q.Limit)*a.weight/c.totalWeight
 }
 
-// leave takes w out of the line. If w was decided in the same moment, that
-// decision holds: a request is either granted or refused, never both.
+// leave removes w from the queue. If w was decided concurrently, that decision
+// holds, so that no request is both granted and refused.
 func (q *Queue) leave(w *waiter, o outcome.Outcome) (slot.Slot, outcome.Outcome) {
 	q.mu.Lock()
-	if w.line != nil {
+	if w.account != nil {
 		o.Ran = outcome.RanNo
 		if o.Outcome != outcome.Left {
-			o.RetryAfter = q.retryAfter(w.class, w.line)
+			o.RetryAfter = q.retryAfter(w.class, w.account)
 		}
-		w.line.flow.add(-1, q.Clock.Now())
+		w.account.netArrivals.add(-1, q.Clock.Now())
 		w.class.remove(w)
 		q.mu.Unlock()
 		return slot.Slot{}, o
@@ -190,24 +197,25 @@
 	q.mu.Unlock()
 	v := <-w.decision
 	if v.outcome.Outcome == "" && w.ctx.Err() != nil {
-		// Nothing was sent yet, so the slot goes to somebody who still waits.
+		// Nothing was sent yet, so the slot is free for another waiting request.
 		v.slot.Release(result.Unused)
 		return slot.Slot{}, outcome.Outcome{Outcome: outcome.Left, Ran: outcome.RanNo, Message: "the caller left"}
 	}
 	return v.slot, v.outcome
 }
 
-func (q *Queue) kick() {
+func (q *Queue) grantFree() {
 	for {
-		c := q.next()
+		c := q.nextClass()
 		if c == nil {
 			return
 		}
 		n := q.Clock.Now()
 		a := c.first()
-		w := a.first(q.newest(a, n))
+		w := a.first(q.newestFirst(a, n))
 		if w.ctx.Err() != nil {
-			// Its goroutine has not woken yet. A slot would be wasted on it.
+			// The caller left, but its goroutine has not run yet. A slot would
+			// be wasted on it.
 			c.remove(w)
 			w.decision <- decision{outcome: outcome.Outcome{Outcome: outcome.Left, Ran: outcome.RanNo, Message: "the caller left"}}
 			continue
@@ -221,8 +229,8 @@
 	}
 }
 
-// acquire takes a slot for w. Only a request that ends by itself may run on a
-// borrowed one, since the lender uses it again when the loan ends.
+// acquire takes a slot for w. Only a request with a deadline may run on a
+// borrowed slot, because the lender uses the slot again when the loan ends.
 func (q *Queue) acquire(w *waiter) (slot.Slot, bool) {
 	s, ok := q.Acquire()
 	if ok || q.Borrowed == nil {
@@ -235,8 +243,8 @@
 	return q.Borrowed(t)
 }
 
-// next returns the class to serve, nil when none has a request to serve.
-func (q *Queue) next() *class {
+// nextClass returns the class to serve, nil if no request can be served.
+func (q *Queue) nextClass() *class {
 	switch {
 	case q.urgent.waiting > 0:
 		return &q.urgent
@@ -247,8 +255,9 @@
 	}
 }
 
-// deferredFull keeps exports from holding all slots when the next urgent
-// request comes, which would wait as long as an export takes.
+// deferredFull reports whether deferred requests hold their half of the slots.
+// Without this limit, exports could hold all slots when the next urgent request
+// arrives, which would then wait as long as an export takes.
 func (q *Queue) deferredFull() bool {
 	if q.Slots == nil {
 		return false
@@ -256,7 +265,9 @@
 	return q.deferred.estimate.busy >= max(1, q.Slots()/2)
 }
 
-func (q *Queue) grant(c *class, a *account, w *waiter, s slot.Slot, now time.Time) {
+// grant gives the slot to w and charges the account for the expected slot time.
+// The release corrects the charge to the actual time.
+func (q *Queue) grant(c *class, a *accountQueue, w *waiter, s slot.Slot, now time.Time) {
 	f := s.Release
 	p := c.charge(a)
 	c.estimate.busy++
@@ -268,36 +279,36 @@
 		if r == result.Unused {
 			t = 0
 		} else {
-			c.estimate.add(t, n)
-			a.learn(t)
+			c.estimate.addSample(t, n)
+			a.addHold(t)
 		}
-		c.correct(a, t-p)
+		c.addVirtualTime(a, t-p)
 		q.mu.Unlock()
 		f(r)
 	}
 	w.decision <- decision{slot: s}
 }
 
-// giveUp refuses the requests of an account that would be served last and
-// cannot be served before their deadlines at the present rate. They get their
-// answers now, while their callers can still go elsewhere.
-func (q *Queue) giveUp(c *class, a *account, now time.Time) {
+// refuseLateTail refuses requests at the end of an account's queue that cannot
+// be served before their deadlines at the present rate. An early refusal lets
+// their callers still try another entry host.
+func (q *Queue) refuseLateTail(c *class, a *accountQueue, now time.Time) {
 	for a.waiting > 0 {
-		w := a.last(q.newest(a, now))
-		if !q.late(c, a, w, a.waiting, now) {
+		w := a.last(q.newestFirst(a, now))
+		if !q.missesDeadline(c, a, w, a.waiting, now) {
 			return
 		}
 		q.refuse(c, w, now, "no slot will come free in time")
 	}
 }
 
-// sweep does the same for requests at any place in the line.
-func (q *Queue) sweep(c *class, a *account, now time.Time) {
-	v := q.newest(a, now)
+// refuseLate refuses such requests at any position of an account's queue.
+func (q *Queue) refuseLate(c *class, a *accountQueue, now time.Time) {
+	v := q.newestFirst(a, now)
 	p := 1
 	for w := a.first(v); w != nil; {
-		x := w.behind(v)
-		if q.late(c, a, w, p, now) {
+		x := w.next(v)
+		if q.missesDeadline(c, a, w, p, now) {
 			q.refuse(c, w, now, "no slot will come free in time")
 		} else {
 			p++
@@ -307,16 +318,16 @@
 }
 
 func (q *Queue) refuse(c *class, w *waiter, now time.Time, m string) {
-	o := outcome.Outcome{Outcome: outcome.NoCapacity, Ran: outcome.RanNo, Message: m, RetryAfter: q.retryAfterAt(c, w.line, now)}
+	o := outcome.Outcome{Outcome: outcome.NoCapacity, Ran: outcome.RanNo, Message: m, RetryAfter: q.retryAfterAt(c, w.account, now)}
 	c.remove(w)
 	w.decision <- decision{outcome: o}
 }
 
-// newest reports whether the account is served newest first. It stays so until
-// its oldest request is well below the patience: what is older is refused, so
-// a single threshold would switch back at once and keep everybody waiting as
-// long as the patience.
-func (q *Queue) newest(a *account, now time.Time) bool {
+// newestFirst reports whether the account's newest request is served first.
+// This lasts until its oldest request has waited less than half of Patience:
+// older requests get refused, so with a single threshold the order would switch
+// back at once, and every request would wait as long as Patience.
+func (q *Queue) newestFirst(a *accountQueue, now time.Time) bool {
 	if q.Patience == 0 || a.waiting == 0 {
 		return false
 	}
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -18,22 +18,22 @@
 	"celeryreach.example/celeryreach/slot"
 )
 
-// rig is a queue over a number of slots, driven step by step.
-type rig struct {
-	clock   *clockwork.FakeClock
-	queue   *Queue
-	slots   int
-	used    int
-	weights map[string]float64
-	waiters map[string]*waiter
-	cancels map[string]context.CancelFunc
-	seen    map[string]decision
+// testQueue is a queue over a number of slots, driven step by step.
+type testQueue struct {
+	clock     *clockwork.FakeClock
+	queue     *Queue
+	slots     int
+	used      int
+	weights   map[string]float64
+	waiters   map[string]*waiter
+	cancels   map[string]context.CancelFunc
+	decisions map[string]decision
 }
 
-func newRig() *rig {
-	r := &rig{
+func newTestQueue() *testQueue {
+	r := &testQueue{
 		clock: clockwork.NewFakeClock(), weights: map[string]float64{}, waiters: map[string]*waiter{},
-		cancels: map[string]context.CancelFunc{}, seen: map[string]decision{},
+		cancels: map[string]context.CancelFunc{}, decisions: map[string]decision{},
 	}
 	r.queue = &Queue{
 		Clock: r.clock, Limit: 1000, Patience: 100 * time.Millisecond, Acquire: r.acquire,
@@ -42,7 +42,7 @@
 	return r
 }
 
-func (r *rig) acquire() (slot.Slot, bool) {
+func (r *testQueue) acquire() (slot.Slot, bool) {
 	if r.used >= r.slots {
 		return slot.Slot{}, false
 	}
@@ -53,35 +53,35 @@
 	}}, true
 }
 
-func (r *rig) arrive(c *class, id, account string, d time.Duration) {
+func (r *testQueue) arrive(c *class, id, account string, d time.Duration) {
 	x, f := context.WithCancel(context.Background())
 	r.cancels[id] = f
 	r.waiters[id] = r.queue.enter(x, c, account, d)
 }
 
-// state reads the decision of a request without waiting for one.
-func (r *rig) state(id string) string {
-	if _, ok := r.seen[id]; !ok {
+// state returns the decision of a request without waiting for it.
+func (r *testQueue) state(id string) string {
+	if _, ok := r.decisions[id]; !ok {
 		select {
 		case v := <-r.waiters[id].decision:
-			r.seen[id] = v
+			r.decisions[id] = v
 		default:
 			return "waiting"
 		}
 	}
-	if o := r.seen[id].outcome; o.Outcome != "" {
+	if o := r.decisions[id].outcome; o.Outcome != "" {
 		return fmt.Sprintf("%s ran=%s retry=%s", o.Outcome, o.Ran, o.RetryAfter)
 	}
 	return "granted"
 }
 
-// serve ends the request that holds a slot after a time.
-func (r *rig) serve(d time.Duration) {
+// serveNext ends a request that holds a slot after the time d.
+func (r *testQueue) serveNext(d time.Duration) {
 	for id := range r.waiters {
-		if _, ok := r.seen[id]; !ok && r.state(id) == "granted" {
+		if _, ok := r.decisions[id]; !ok && r.state(id) == "granted" {
 			r.clock.Advance(d)
 			r.queue.Sweep()
-			r.seen[id].slot.Release(result.Succeeded)
+			r.decisions[id].slot.Release(result.Succeeded)
 			return
 		}
 	}
@@ -91,7 +91,7 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(e *testscript.Env) error {
-			e.Values["rig"] = newRig()
+			e.Values["queue"] = newTestQueue()
 			return nil
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
@@ -116,14 +116,14 @@
 			},
 			"serve": func(s *testscript.TestScript, _ bool, a []string) {
 				for range check(s).Number(a[0]) {
-					get(s).serve(check(s).Duration(a[1]))
+					get(s).serveNext(check(s).Duration(a[1]))
 				}
 			},
 			"vanish": func(s *testscript.TestScript, _ bool, a []string) { get(s).cancels[a[0]]() },
 			"free": func(s *testscript.TestScript, _ bool, a []string) {
 				for _, v := range a {
 					must.EqOp(check(s), "granted", get(s).state(v))
-					get(s).seen[v].slot.Release(result.Succeeded)
+					get(s).decisions[v].slot.Release(result.Succeeded)
 				}
 			},
 			"advance": func(s *testscript.TestScript, _ bool, a []string) { get(s).clock.Advance(check(s).Duration(a[0])) },
@@ -140,15 +140,15 @@
 	})
 }
 
-func get(s *testscript.TestScript) *rig { return s.Value("rig").(*rig) }
+func get(s *testscript.TestScript) *testQueue { return s.Value("queue").(*testQueue) }
 
-// A caller sees its answer cut short when its request is granted after it was
-// refused, and a deposit runs although the answer said "not run". Arrivals,
-// departures and releases in any order must give each request one decision,
-// and never more grants than slots.
+// A request that is granted after it was refused has its answer broken off, or
+// runs although the response was "not run". Arrivals, departures and releases
+// in any order must give each request one decision, and never more grants than
+// slots.
 func TestOneDecision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRig()
+		r := newTestQueue()
 		r.slots = rapid.IntRange(1, 4).Draw(t, "slots")
 		r.queue.Limit = rapid.IntRange(1, 10).Draw(t, "limit")
 		var granted []string
@@ -167,7 +167,7 @@
 			},
 			"release": func(*rapid.T) {
 				if len(granted) > 0 {
-					r.seen[granted[0]].slot.Release(result.Succeeded)
+					r.decisions[granted[0]].slot.Release(result.Succeeded)
 					granted = granted[1:]
 				}
 			},
@@ -178,7 +178,7 @@
 			"": func(t *rapid.T) {
 				waiting := 0
 				for id, w := range r.waiters {
-					_, was := r.seen[id]
+					_, was := r.decisions[id]
 					v := r.state(id)
 					switch {
 					case v == "waiting":
@@ -199,12 +199,12 @@
 	})
 }
 
-// A studio whose customers wait behind a larger one's sees them leave. While
-// accounts stay backlogged, each gets its weight's part of the slot time,
-// whatever the holding times of their requests are.
-func TestFairParts(t *testing.T) {
+// Requests of a small account must not wait behind those of a large one. While
+// accounts are backlogged, each gets slot time in proportion to its weight,
+// whatever the hold times of its requests are.
+func TestFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRig()
+		r := newTestQueue()
 		r.slots = 1
 		hold := map[string]time.Duration{}
 		got := map[string]float64{}
@@ -222,7 +222,7 @@
 					got[a] += hold[a].Seconds() / r.weights[a]
 					r.clock.Advance(hold[a])
 					delete(r.waiters, id)
-					r.seen[id].slot.Release(result.Succeeded)
+					r.decisions[id].slot.Release(result.Succeeded)
 					break
 				}
 			}
@@ -235,10 +235,10 @@
 	})
 }
 
-// A caller that closes its connection must not cost a slot, and one whose time
-// is up hears so. Both go through Wait with its goroutine and timer.
+// A caller that closes its connection must not occupy a slot, and one whose
+// time is up gets a refusal. Both use the goroutine and the timer of Wait.
 func TestWait(t *testing.T) {
-	r := newRig()
+	r := newTestQueue()
 	x, f := context.WithCancel(context.Background())
 	c := make(chan string, 1)
 	wait := func(x context.Context) {
@@ -259,7 +259,7 @@
 func BenchmarkQueue(b *testing.B) {
 	for _, n := range []int{8, 1000, 100_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			r := newRig()
+			r := newTestQueue()
 			r.queue.Limit = 2 * n
 			for i := range n {
 				r.queue.enter(b.Context(), &r.queue.urgent, strconv.Itoa(i%8), time.Hour)
