--- a/lanes/backends.go
+++ b/lanes/backends.go
@@ -8,32 +8,33 @@
 	"celeryreach.example/celeryreach/snapshot"
 )
 
-// backends keeps the list of a service's backend servers until the
-// configuration or the domains change: every grant of a slot asks for it.
-type backends struct {
+// backendCache caches the list of a service's backend servers until the
+// configuration or the failure domains change, because every grant of a slot
+// reads it.
+type backendCache struct {
 	service  string
 	snapshot func() *snapshot.Snapshot
 	domains  func() []string
 
-	mu   sync.Mutex
-	from *snapshot.Snapshot
-	in   []string
-	list []backend.Backend
+	mu             sync.Mutex
+	cachedSnapshot *snapshot.Snapshot
+	cachedDomains  []string
+	cached         []backend.Backend
 }
 
-func (c *backends) get() []backend.Backend {
+func (c *backendCache) get() []backend.Backend {
 	s := c.snapshot()
 	d := c.domains()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s == nil || s == c.from && slices.Equal(d, c.in) {
-		return c.list
+	if s == nil || s == c.cachedSnapshot && slices.Equal(d, c.cachedDomains) {
+		return c.cached
 	}
-	c.from = s
-	c.in = d
-	c.list = nil
+	c.cachedSnapshot = s
+	c.cachedDomains = d
+	c.cached = nil
 	for _, v := range d {
-		c.list = append(c.list, s.Backends(v, c.service)...)
+		c.cached = append(c.cached, s.Backends(v, c.service)...)
 	}
-	return c.list
+	return c.cached
 }
--- a/lanes/fleet_test.go
+++ b/lanes/fleet_test.go
@@ -25,11 +25,11 @@
 	"celeryreach.example/celeryreach/staleness"
 )
 
-// forever is work that only a cancel ends.
+// forever is a request duration that only a cancel ends.
 const forever = time.Hour
 
-// start runs a deployment with the failure domains n1 and, in the same or in
-// another region, n2.
+// start runs a deployment with the failure domain n1 in region north and n2 in
+// the region second.
 func start(t *testing.T, hosts, backends int, second string, work time.Duration, edits ...func(*config.Config)) (context.Context, *fleet.Fleet) {
 	t.Parallel()
 	timeout := 2 * time.Second
@@ -69,7 +69,8 @@
 	return s.Loads[0].Slots
 }
 
-// answer returns who answered a request to a host, empty if nobody did.
+// answer returns the backend server that answered a request to a host, empty if
+// none did.
 func answer(ctx context.Context, f *fleet.Fleet, host string) string {
 	c, b, err := f.Send(ctx, host, "acme", http.MethodGet, "/pages/1", "")
 	if err != nil || c != http.StatusOK {
@@ -79,17 +80,17 @@
 	return n
 }
 
-// All callers come to one of two hosts, which owns half of the slots. It borrows
-// from its sibling, which keeps one slot for its own next caller.
+// All callers use one of two hosts, which owns half of the slots. It borrows
+// from the other host, which keeps one slot for its own next caller.
 func TestSiblingLends(t *testing.T) {
 	ctx, f := start(t, 2, 1, "south", 300*time.Millisecond)
 	must.NoError(t, f.Await(ctx, "the division", func() bool { return slots(ctx, f, "n1-a") == 2 && slots(ctx, f, "n1-b") == 2 }))
 	b := f.Backend("Pages-n1-1")
-	crowd(ctx, t, f, func() bool { return b.Busy() == 3 })
+	overload(ctx, t, f, func() bool { return b.Busy() == 3 })
 }
 
-// crowd keeps six callers at n1-a until the condition holds.
-func crowd(ctx context.Context, t *testing.T, f *fleet.Fleet, condition func() bool) {
+// overload keeps six requests at n1-a until the condition holds.
+func overload(ctx context.Context, t *testing.T, f *fleet.Fleet, condition func() bool) {
 	x, stop := context.WithCancel(ctx)
 	const callers = 6
 	d := make(chan struct{}, callers)
@@ -101,7 +102,7 @@
 			d <- struct{}{}
 		}()
 	}
-	err := f.Await(ctx, "the crowd", condition)
+	err := f.Await(ctx, "the overload", condition)
 	stop()
 	for range callers {
 		<-d
@@ -109,8 +110,8 @@
 	must.NoError(t, err)
 }
 
-// The backend servers of a domain are gone. Its callers are answered by another
-// domain's, through the same host.
+// The backend servers of a failure domain are gone. Its callers are answered by
+// those of another failure domain, through the same host.
 func TestForwarded(t *testing.T) {
 	ctx, f := start(t, 1, 1, "south", 0)
 	must.NoError(t, f.Await(ctx, "an answer", func() bool { return answer(ctx, f, "n1-a") == "Pages-n1-1" }))
@@ -118,18 +119,19 @@
 	must.NoError(t, f.Await(ctx, "an answer from elsewhere", func() bool { return answer(ctx, f, "n1-a") == "Pages-n2-1" }))
 }
 
-// A domain loses its only host. The region's other host takes the leased half of
-// its slots, and callers are answered by backend servers that would be idle.
+// A failure domain loses its only host. The region's other host takes over the
+// leased half of its slots, so that its backend servers do not stay idle.
 func TestTakenOver(t *testing.T) {
 	ctx, f := start(t, 1, 1, "north", 300*time.Millisecond)
 	must.NoError(t, f.Await(ctx, "the division", func() bool { return slots(ctx, f, "n1-a") == 4 && slots(ctx, f, "n2-a") == 4 }))
 	f.KillHost("n2-a")
 	must.NoError(t, f.Await(ctx, "the slots", func() bool { return slots(ctx, f, "n1-a") > 4 }))
-	crowd(ctx, t, f, func() bool { return f.Backend("Pages-n2-1").Busy() > 0 })
+	overload(ctx, t, f, func() bool { return f.Backend("Pages-n2-1").Busy() > 0 })
 }
 
-// A backend server drains and sheds what comes. Every caller is answered by the
-// other one, since a refusal before the run can be tried again.
+// A backend server drains and sheds every request. All callers are answered by
+// the other one, because a request that was refused before it ran can be
+// retried.
 func TestSheds(t *testing.T) {
 	ctx, f := start(t, 1, 2, "south", 0)
 	must.NoError(t, f.Await(ctx, "an answer", func() bool { return answer(ctx, f, "n1-a") != "" }))
@@ -139,11 +141,12 @@
 	}
 }
 
-// A caller whose request runs in another region leaves, and its slot there must
-// be free at once, not when the request's time is up. Then the link goes silent
-// under the next request: no error ever arrives, but the caller gets an answer
-// and the slot comes back, since both ends miss the other's signs of life.
-func TestLeaverAndSilence(t *testing.T) {
+// A caller cancels a request that runs in another region: its slot there must
+// be free at once, not only at the request's deadline. Then the link is
+// partitioned during the next request. No error arrives, but both ends miss the
+// other's keep-alive messages, so the caller gets an answer and the slot is
+// freed.
+func TestCancelAndLinkLoss(t *testing.T) {
 	ctx, f := start(t, 1, 1, "south", forever)
 	must.NoError(t, f.StopBackend("Pages-n1-1"))
 	b := f.Backend("Pages-n2-1")
@@ -168,20 +171,20 @@
 	must.NoError(t, f.Await(ctx, "the free slot", func() bool { return b.Busy() == 0 }))
 }
 
-// A region failed, and look-ups send its callers to another one that idles with
-// cold caches. They all come at once. The other region takes them on as fast as
-// its growth cap allows and refuses the rest unrun, while its own callers are
-// answered.
-func TestNewlySteered(t *testing.T) {
+// After the failure of a region, look-ups send all its callers at once to
+// another region with cold caches. That region accepts them only as fast as its
+// growth cap allows and refuses the rest without running them, while its own
+// callers are answered.
+func TestGrowthCap(t *testing.T) {
 	for _, v := range []struct {
 		home string
 		all  bool
 	}{{"north", true}, {"south", false}} {
-		t.Run(v.home, func(t *testing.T) { steered(t, v.home, v.all) })
+		t.Run(v.home, func(t *testing.T) { testGrowthCap(t, v.home, v.all) })
 	}
 }
 
-func steered(t *testing.T, home string, all bool) {
+func testGrowthCap(t *testing.T, home string, all bool) {
 	const requests = 60
 	ctx, f := start(t, 1, 1, "north", 0, func(c *config.Config) {
 		c.Blocks = []block.Block{{Prefix: netip.MustParsePrefix("127.0.0.0/8"), Region: home}}
--- a/lanes/lanes.go
+++ b/lanes/lanes.go
@@ -1,4 +1,4 @@
-// Package lanes keeps a queue and a balancer for each service.
+// Package lanes maintains a queue and a balancer for each service.
 package lanes
 
 import (
@@ -21,61 +21,62 @@
 
 const (
 	queueLimit = 10_000
-	// patience is from docs/decisions/0020-queue.md.
-	patience   = 100 * time.Millisecond
-	sweepEvery = 50 * time.Millisecond
+	// newestFirstAfter is explained in docs/decisions/0020-queue.md.
+	newestFirstAfter = 100 * time.Millisecond
+	sweepInterval    = 50 * time.Millisecond
 )
 
-// Lanes makes the queues of the services on first use.
+// Lanes creates the queue and the balancer of a service on first use.
 type Lanes struct {
-	// Clock is passed to the queues.
+	// Clock is the time source of the queues and balancers.
 	Clock clockwork.Clock
 	// Domains returns the failure domains whose backend servers this host may
-	// use: its own, and others that lost all their hosts.
+	// use: its own, and others that have lost all their hosts.
 	Domains func() []string
-	// Snapshot returns the configuration in force, nil before the first.
+	// Snapshot returns the configuration in force, nil if there is none yet.
 	Snapshot func() *snapshot.Snapshot
 	// Slots returns how many slots of a backend server this host owns now.
 	Slots func(b backend.Backend) int
-	// Borrowed takes a slot of a service that a sibling lent until a time; nil
-	// means that nobody lends.
+	// Borrowed takes a slot of a service that another host of the failure domain
+	// lent until at least the given time; nil disables borrowing.
 	Borrowed func(service string, until time.Time) (slot.Slot, bool)
-	// Drained is told how long a drain of a backend server took.
+	// Drained is called when a backend server has drained, with the first sign
+	// of the drain and its duration.
 	Drained func(name, sign string, d time.Duration)
 
-	domains atomic.Pointer[[]string]
-	mu      sync.Mutex
-	lanes   map[string]*lane
+	sweptDomains atomic.Pointer[[]string]
+	mu           sync.Mutex
+	byKey        map[string]*serviceQueue
 }
 
-type lane struct {
+type serviceQueue struct {
 	queue    *queue.Queue
 	balancer *balancer.Balancer
 }
 
 // Queue returns the queue of a service.
 func (l *Lanes) Queue(service string) *queue.Queue {
-	return l.lane(service).queue
+	return l.serviceQueue(service).queue
 }
 
-// Run looks after the queues until ctx ends.
+// Run sweeps the queues and balancers at regular intervals until ctx ends.
 func (l *Lanes) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		d := l.Domains()
-		l.domains.Store(&d)
+		l.sweptDomains.Store(&d)
 		for _, n := range l.all() {
 			n.balancer.Tick()
 			n.queue.Sweep()
 		}
 		select {
 		case <-ctx.Done():
-		case <-l.Clock.After(sweepEvery):
+		case <-l.Clock.After(sweepInterval):
 		}
 	}
 	return nil
 }
 
-// Loads returns the load of each service for heartbeats.
+// Loads returns the load of each service, for heartbeats.
 func (l *Lanes) Loads() []*wire.Load {
 	s := l.Snapshot()
 	if s == nil {
@@ -83,7 +84,7 @@
 	}
 	var r []*wire.Load
 	for _, v := range s.Config.Services {
-		n := l.lane(v.Name)
+		n := l.serviceQueue(v.Name)
 		t, b := n.balancer.Load()
 		r = append(r, &wire.Load{Service: v.Name, Slots: uint32(t), Busy: uint32(b), Waiting: uint32(n.queue.Waiting())})
 	}
@@ -93,43 +94,45 @@
 // Suspects returns the backend servers to probe.
 func (l *Lanes) Suspects() []backend.Backend {
 	var r []backend.Backend
-	for _, v := range l.own() {
-		r = append(r, l.lane(v.Name).balancer.Suspects()...)
+	for _, v := range l.servicesWithBackends() {
+		r = append(r, l.serviceQueue(v.Name).balancer.Suspects()...)
 	}
 	return r
 }
 
-// Probed takes the result of a probe.
+// Probed handles the result of a probe.
 func (l *Lanes) Probed(b backend.Backend, h health.Health) {
-	l.lane(b.Service).balancer.Probed(b.Name, h)
+	l.serviceQueue(b.Service).balancer.Probed(b.Name, h)
 }
 
-// Lend closes a free slot of a service for a sibling, unless own requests wait.
+// Lend closes a free slot of a service to lend it to another host of the
+// failure domain, unless own requests wait.
 func (l *Lanes) Lend(service string, d time.Duration) (backend string, back func(), ok bool) {
-	n := l.lane(service)
+	n := l.serviceQueue(service)
 	if n.queue.Waiting() > 0 {
 		return "", nil, false
 	}
 	return n.balancer.Lend(d)
 }
 
-// Adopt makes a slot of one that a sibling lent.
+// Adopt returns a slot on a backend server that another host lent.
 func (l *Lanes) Adopt(service, backend string, free func()) (slot.Slot, bool) {
-	return l.lane(service).balancer.Adopt(backend, free)
+	return l.serviceQueue(service).balancer.Adopt(backend, free)
 }
 
-// Kick hands out the free slots of a service.
+// Kick grants the free slots of a service to waiting requests.
 func (l *Lanes) Kick(service string) {
-	l.lane(service).queue.Kick()
+	l.serviceQueue(service).queue.Kick()
 }
 
 // Committed returns how many slots of a backend server are busy or lent.
 func (l *Lanes) Committed(b backend.Backend) int {
-	return l.lane(b.Service).balancer.Committed(b.Name)
+	return l.serviceQueue(b.Service).balancer.Committed(b.Name)
 }
 
-// own returns the services that have backend servers of their own.
-func (l *Lanes) own() []service.Service {
+// servicesWithBackends returns the services that have backend servers of their
+// own.
+func (l *Lanes) servicesWithBackends() []service.Service {
 	s := l.Snapshot()
 	if s == nil {
 		return nil
@@ -143,19 +146,19 @@
 	return r
 }
 
-func (l *Lanes) all() []*lane {
+func (l *Lanes) all() []*serviceQueue {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := make([]*lane, 0, len(l.lanes))
-	for _, n := range l.lanes {
+	r := make([]*serviceQueue, 0, len(l.byKey))
+	for _, n := range l.byKey {
 		r = append(r, n)
 	}
 	return r
 }
 
-// current returns the domains as of the last sweep.
-func (l *Lanes) current() []string {
-	if d := l.domains.Load(); d != nil {
+// currentDomains returns the failure domains as of the last sweep.
+func (l *Lanes) currentDomains() []string {
+	if d := l.sweptDomains.Load(); d != nil {
 		return *d
 	}
 	return l.Domains()
@@ -166,43 +169,43 @@
 	return a.Weight
 }
 
-func (l *Lanes) lane(name string) *lane {
+func (l *Lanes) serviceQueue(name string) *serviceQueue {
 	v := l.service(name)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.make(name, v)
+	return l.getOrCreate(name, v)
 }
 
-// make returns a lane. Services that share backend servers share the queue,
-// and the deferrable ones come last in it.
-func (l *Lanes) make(name string, v service.Service) *lane {
+// getOrCreate returns the queue and balancer of a service. Services that share
+// backend servers share a queue, in which deferrable services are served last.
+func (l *Lanes) getOrCreate(name string, v service.Service) *serviceQueue {
 	k := name
 	if v.SharedWith != "" && v.Deferrable {
 		k = v.SharedWith + "\x00later"
 	} else if v.SharedWith != "" {
 		k = v.SharedWith
 	}
-	if n := l.lanes[k]; n != nil {
+	if n := l.byKey[k]; n != nil {
 		return n
 	}
-	if l.lanes == nil {
-		l.lanes = make(map[string]*lane)
+	if l.byKey == nil {
+		l.byKey = make(map[string]*serviceQueue)
 	}
-	var n *lane
+	var n *serviceQueue
 	if v.SharedWith != "" && v.Deferrable {
-		o := l.make(v.SharedWith, service.Service{})
-		n = &lane{queue: &queue.Queue{Ahead: o.queue}, balancer: o.balancer}
+		o := l.getOrCreate(v.SharedWith, service.Service{})
+		n = &serviceQueue{queue: &queue.Queue{Ahead: o.queue}, balancer: o.balancer}
 	} else {
-		n = l.build(k)
+		n = l.newServiceQueue(k)
 	}
-	l.lanes[k] = n
+	l.byKey[k] = n
 	return n
 }
 
-func (l *Lanes) build(name string) *lane {
-	c := &backends{service: name, snapshot: l.Snapshot, domains: l.current}
+func (l *Lanes) newServiceQueue(name string) *serviceQueue {
+	c := &backendCache{service: name, snapshot: l.Snapshot, domains: l.currentDomains}
 	b := &balancer.Balancer{Clock: l.Clock, Backends: c.get, Slots: l.Slots, Drained: l.Drained}
-	q := &queue.Queue{Clock: l.Clock, Acquire: b.Acquire, Limit: queueLimit, Patience: patience, Weight: l.weight}
+	q := &queue.Queue{Clock: l.Clock, Acquire: b.Acquire, Limit: queueLimit, Patience: newestFirstAfter, Weight: l.weight}
 	q.Slots = func() int {
 		n, _ := b.Load()
 		return n
@@ -211,7 +214,7 @@
 		q.Borrowed = func(t time.Time) (slot.Slot, bool) { return l.Borrowed(name, t) }
 	}
 	b.Released = q.Kick
-	return &lane{queue: q, balancer: b}
+	return &serviceQueue{queue: q, balancer: b}
 }
 
 func (l *Lanes) service(name string) service.Service {
--- a/lanes/lanes_test.go
+++ b/lanes/lanes_test.go
@@ -15,14 +15,14 @@
 	"celeryreach.example/celeryreach/snapshot"
 )
 
-// rig is a host's lanes over one configuration.
-type rig struct {
+// testLanes are the queues and balancers of a host with a fixed configuration.
+type testLanes struct {
 	clock   *clockwork.FakeClock
 	lanes   *Lanes
 	domains []string
 }
 
-func newRig() *rig {
+func newTestLanes() *testLanes {
 	c := &config.Config{
 		Services: []service.Service{{Name: "deposits"}, {Name: "rosters", SharedWith: "deposits", Deferrable: true}},
 		Backends: []backend.Backend{
@@ -31,7 +31,7 @@
 		},
 	}
 	s := snapshot.New(c, "")
-	r := &rig{clock: clockwork.NewFakeClock(), domains: []string{"lagos-1"}}
+	r := &testLanes{clock: clockwork.NewFakeClock(), domains: []string{"lagos-1"}}
 	r.lanes = &Lanes{
 		Clock: r.clock, Domains: func() []string { return r.domains }, Snapshot: func() *snapshot.Snapshot { return s },
 		Slots: func(b backend.Backend) int { return b.Slots },
@@ -39,11 +39,11 @@
 	return r
 }
 
-// A domain lost its only host, and its backend servers stand idle. A host of the
-// region got their slots and uses them; when the domain has a host again, it
-// stops.
+// A failure domain loses its only host, and its backend servers are idle. A
+// host of the region gets their slots and uses them, and stops when the failure
+// domain has a host again.
 func TestTakeover(t *testing.T) {
-	r := newRig()
+	r := newTestLanes()
 	x, f := context.WithCancel(t.Context())
 	d := make(chan error, 1)
 	go func() { d <- r.lanes.Run(x) }()
@@ -55,7 +55,7 @@
 		slots   uint32
 	}{{[]string{"lagos-1", "lagos-2"}, 3}, {[]string{"lagos-1"}, 2}} {
 		r.domains = v.domains
-		r.clock.Advance(sweepEvery)
+		r.clock.Advance(sweepInterval)
 		must.NoError(t, r.clock.BlockUntilContext(x, 1))
 		must.EqOp(t, v.slots, slots())
 	}
@@ -63,10 +63,11 @@
 	must.NoError(t, <-d)
 }
 
-// Roster exports use the backend servers of deposits. A deposit that comes while
-// one export runs and another waits is served before that.
+// Roster exports use the backend servers of deposits. A deposit that arrives
+// while one export runs and another one waits is served before the waiting
+// export.
 func TestSharedBackends(t *testing.T) {
-	r := newRig()
+	r := newTestLanes()
 	first, o := r.lanes.Queue("rosters").Wait(t.Context(), "a", time.Minute)
 	must.EqOp(t, "", o.Outcome)
 	c := make(chan string, 1)
