--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,6 +1,6 @@
 // Package balancer picks the backend server for a request among those of the
-// host's own failure domain. What this host counts and sees itself decides;
-// what backend servers report of themselves only hints.
+// host's own failure domain. Decisions rest on what this host counts and
+// observes itself; reports of backend servers about themselves are only hints.
 package balancer
 
 import (
@@ -19,43 +19,43 @@
 	"celeryreach.example/celeryreach/slot"
 )
 
-// Balancer counts the slots of one service's backend servers.
+// Balancer tracks the slots of one service's backend servers.
 type Balancer struct {
-	// Clock times warm-ups, ejections and drains.
+	// Clock is the time source for warm-ups, ejections and drains.
 	Clock clockwork.Clock
-	// Backends returns the backend servers in force.
+	// Backends returns the backend servers of the configuration in force.
 	Backends func() []backend.Backend
 	// Slots returns how many slots of a backend server this host owns now.
 	Slots func(b backend.Backend) int
-	// Released is called after a slot came free.
+	// Released is called after a slot was freed.
 	Released func()
-	// Drained is told how long the work in flight took to end after the first
-	// sign of a drain; nil means nobody asks.
+	// Drained is called with the time from the first sign of a drain until the
+	// requests in flight ended; nil disables the call.
 	Drained func(name, sign string, d time.Duration)
-	// Random draws from [0, n); nil means a random source of its own.
+	// Random returns a random number in [0, n); nil means math/rand/v2.
 	Random func(n int) int
 
-	mu       sync.Mutex
-	list     []backend.Backend
-	names    []string
-	servers  []*server
-	known    map[string]*server
-	mean     float64
-	outliers outlier.Outlier
-	kept     []kept
-	ended    []drain
+	mu           sync.Mutex
+	lastBackends []backend.Backend
+	names        []string
+	servers      []*server
+	byName       map[string]*server
+	meanHold     float64
+	outliers     outlier.Outlier
+	held         []heldSlot
+	endedDrains  []drain
 }
 
-// kept is a slot that stays taken until a time.
-type kept struct {
+// heldSlot is a slot that stays occupied until a given time.
+type heldSlot struct {
 	server *server
 	until  time.Time
 	free   func()
 }
 
-// Acquire takes a slot of the better one of two backend servers with free
-// slots. Hosts that all chose the best by the same lagging reports would send
-// it all their requests at once.
+// Acquire takes a slot of the better of two randomly drawn backend servers with
+// free slots. If all hosts chose the best one by the same delayed reports, they
+// would send it all their requests at once.
 func (b *Balancer) Acquire() (slot.Slot, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -69,7 +69,7 @@
 	return b.slot(s, n, func() { s.busy-- }), true
 }
 
-// Load returns the usable and the busy slots.
+// Load returns the numbers of usable and busy slots.
 func (b *Balancer) Load() (slots, busy int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,139 +82,143 @@
 	return slots, busy
 }
 
-// slot makes the slot of a request that starts now. Free runs under the lock
-// when the backend server can have stopped.
+// slot creates the slot of a request that starts now. The function free is
+// called under the lock when the backend server can be assumed to have stopped
+// working on the request.
 func (b *Balancer) slot(s *server, now time.Time, free func()) slot.Slot {
 	var once sync.Once
 	return slot.Slot{
 		Backend:  s.backend,
-		Answered: func(status int, h http.Header) { b.answered(s, status, loadreport.Take(h)) },
+		Answered: func(status int, h http.Header) { b.recordAnswer(s, status, loadreport.Take(h)) },
 		Release: func(r result.Result) {
 			once.Do(func() { b.release(s, now, r, free) })
 		},
 	}
 }
 
-func (b *Balancer) answered(s *server, status int, r loadreport.Loadreport) {
+func (b *Balancer) recordAnswer(s *server, status int, r loadreport.Loadreport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := b.Clock.Now()
-	s.failing = status >= http.StatusInternalServerError
-	s.report(r, n)
+	s.lastAnswerFailed = status >= http.StatusInternalServerError
+	s.recordLoad(r, n)
 	if !r.Draining {
-		s.signs = 0
+		s.answerDrains = 0
 		return
 	}
-	b.drain(s, "Answer", n)
-	if !s.leaving.After(n) {
-		s.signs++
+	b.beginDrain(s, "Answer", n)
+	if !s.drainUntil.After(n) {
+		s.answerDrains++
 	}
-	s.leave(n.Add(signFor << min(s.signs-1, maxDoublings)))
+	s.extendDrain(n.Add(drainSignValidity << min(s.answerDrains-1, maxDoublings)))
 }
 
-// release learns from the result. The slot of a request that was cut short is
-// kept for a while, because the backend server works on until it has seen the
-// connection close.
+// release records the result and frees the slot. The slot of an aborted request
+// stays occupied for a while, because the backend server continues to work
+// until it notices that the connection was closed.
 func (b *Balancer) release(s *server, began time.Time, r result.Result, free func()) {
 	b.mu.Lock()
 	n := b.Clock.Now()
-	b.learn(s, r, n.Sub(began), n)
-	d := s.linger
+	b.recordResult(s, r, n.Sub(began), n)
+	d := s.releaseDelay
 	if r == result.Succeeded || r == result.Unused || r == result.Refused {
 		d = 0
 	}
 	if d == 0 {
 		free()
-		f := s.drained(n)
+		f := s.completeDrain(n)
 		b.mu.Unlock()
-		b.report(f)
+		b.reportDrain(f)
 		b.Released()
 		return
 	}
-	b.kept = append(b.kept, kept{server: s, until: n.Add(d), free: free})
+	b.held = append(b.held, heldSlot{server: s, until: n.Add(d), free: free})
 	b.mu.Unlock()
 	b.Clock.AfterFunc(d, b.Tick)
 }
 
-// Tick frees the slots whose time is over and reports drains. It is called at
-// regular intervals, besides timers of its own.
+// Tick frees the held slots whose time is over and reports ended drains. It
+// must be called at regular intervals; the balancer's own timers call it as
+// well.
 func (b *Balancer) Tick() {
 	b.mu.Lock()
 	b.refresh(b.Clock.Now())
-	f := b.ended
-	b.ended = nil
+	f := b.endedDrains
+	b.endedDrains = nil
 	b.mu.Unlock()
 	for _, d := range f {
-		b.report(&d)
+		b.reportDrain(&d)
 	}
 	b.Released()
 }
 
-// drain notes the first sign of a drain. Operators wait for the report of its
-// end on every host, so one that has no work there reports as well.
-func (b *Balancer) drain(s *server, sign string, now time.Time) {
+// beginDrain records the first sign of a drain. Operators wait for the report
+// of its end from every host, so a host without requests in flight there
+// reports it as well.
+func (b *Balancer) beginDrain(s *server, sign string, now time.Time) {
 	switch {
-	case s.sign != "":
+	case s.drainSign != "":
 	case s.busy == 0:
-		b.ended = append(b.ended, drain{name: s.backend.Name, sign: sign})
+		b.endedDrains = append(b.endedDrains, drain{name: s.backend.Name, sign: sign})
 	default:
-		s.sign = sign
-		s.signed = now
+		s.drainSign = sign
+		s.drainBegan = now
 	}
 }
 
-// settle frees the slots whose time is over. It is done whenever slots are
-// counted, since a timer may be late.
-func (b *Balancer) settle(now time.Time) {
-	b.kept = slices.DeleteFunc(b.kept, func(k kept) bool {
+// releaseExpired frees the held slots whose time is over. It runs whenever
+// slots are counted, because a timer may be late.
+func (b *Balancer) releaseExpired(now time.Time) {
+	b.held = slices.DeleteFunc(b.held, func(k heldSlot) bool {
 		if k.until.After(now) {
 			return false
 		}
 		k.free()
-		if d := k.server.drained(now); d != nil {
-			b.ended = append(b.ended, *d)
+		if d := k.server.completeDrain(now); d != nil {
+			b.endedDrains = append(b.endedDrains, *d)
 		}
 		return true
 	})
 }
 
-func (b *Balancer) report(d *drain) {
+func (b *Balancer) reportDrain(d *drain) {
 	if d != nil && b.Drained != nil {
 		b.Drained(d.name, d.sign, d.took)
 	}
 }
 
-func (b *Balancer) learn(s *server, r result.Result, took time.Duration, now time.Time) {
+func (b *Balancer) recordResult(s *server, r result.Result, took time.Duration, now time.Time) {
 	switch {
-	case r == result.Succeeded && !s.failing:
-		b.succeed(s, took.Seconds(), now)
+	case r == result.Succeeded && !s.lastAnswerFailed:
+		b.recordSuccess(s, took.Seconds(), now)
 	case r == result.Succeeded, r == result.Failed:
 		if t, ok := b.outliers.Fail(s.backend.Name, b.names, now); ok {
-			// It comes back as if it were cold: whatever was wrong, its first
-			// requests show whether it is still.
-			s.warm.Began = t
+			// The backend server returns as if it were cold: its first requests
+			// show whether the fault persists.
+			s.warmup.Began = t
 		}
 	case r == result.Shed:
-		// It had less room than was counted: what it did before has not ended.
-		s.linger = min(max(2*s.linger, minLinger), maxLinger)
+		// It had fewer free slots than counted: earlier requests were still
+		// running.
+		s.releaseDelay = min(max(2*s.releaseDelay, minReleaseDelay), maxReleaseDelay)
 		s.sheds++
-		s.away = now.Add(shedFor << min(s.sheds-1, maxShedDoublings))
+		s.avoidUntil = now.Add(shedBackoff << min(s.sheds-1, maxShedDoublings))
 	case r == result.Refused:
-		b.drain(s, "Refused", now)
+		b.beginDrain(s, "Refused", now)
 		s.refusals++
-		s.away = now.Add(min(awayFor<<min(s.refusals-1, maxDoublings), maxAway))
-		s.warm.Began = s.away
+		s.avoidUntil = now.Add(min(refusedBackoff<<min(s.refusals-1, maxDoublings), maxRefusedBackoff))
+		s.warmup.Began = s.avoidUntil
 	}
 }
 
-func (b *Balancer) succeed(s *server, took float64, now time.Time) {
+func (b *Balancer) recordSuccess(s *server, took float64, now time.Time) {
 	b.outliers.Succeed(s.backend.Name)
-	s.succeeded = now
+	s.succeededAt = now
 	s.refusals = 0
 	s.sheds = 0
-	s.linger = max(s.linger-s.linger/lingerDecay, minLinger)
-	average(&s.hold, took)
-	average(&b.mean, took)
+	s.releaseDelay = max(s.releaseDelay-s.releaseDelay/releaseDelayDecay, minReleaseDelay)
+	updateMean(&s.meanHold, took)
+	updateMean(&b.meanHold, took)
 }
 
 func (b *Balancer) random(n int) int {
@@ -224,8 +228,9 @@
 	return rand.IntN(n)
 }
 
-// average moves a running mean, which starts with its first sample.
-func average(m *float64, v float64) {
+// updateMean adds a sample to a running mean, which starts with the first
+// sample.
+func updateMean(m *float64, v float64) {
 	if *m == 0 {
 		*m = v
 		return
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -22,23 +22,24 @@
 	"celeryreach.example/celeryreach/slot"
 )
 
-type rig struct {
+// testBalancer is a balancer with its configuration, driven step by step.
+type testBalancer struct {
 	clock    *clockwork.FakeClock
 	balancer *Balancer
 	list     []backend.Backend
-	own      map[string]int
+	owned    map[string]int
 	slots    map[string]slot.Slot
 	drained  string
 	draw     int
 }
 
-func newRig() *rig {
-	r := &rig{clock: clockwork.NewFakeClock(), own: map[string]int{}, slots: map[string]slot.Slot{}}
+func newTestBalancer() *testBalancer {
+	r := &testBalancer{clock: clockwork.NewFakeClock(), owned: map[string]int{}, slots: map[string]slot.Slot{}}
 	r.balancer = &Balancer{
 		Clock:    r.clock,
 		Backends: func() []backend.Backend { return r.list },
 		Slots: func(b backend.Backend) int {
-			if n, ok := r.own[b.Name]; ok {
+			if n, ok := r.owned[b.Name]; ok {
 				return n
 			}
 			return b.Slots
@@ -53,8 +54,8 @@
 	return r
 }
 
-// free tells how many requests each backend server would take now.
-func (r *rig) free() string {
+// free returns how many requests each backend server accepts now.
+func (r *testBalancer) free() string {
 	n := map[string]int{}
 	var l []slot.Slot
 	for {
@@ -76,8 +77,8 @@
 	return strings.Join(v, " ")
 }
 
-// acquire takes a slot of a certain backend server.
-func (r *rig) acquire(id, name string) bool {
+// acquire takes a slot of the named backend server.
+func (r *testBalancer) acquire(id, name string) bool {
 	var l []slot.Slot
 	ok := false
 	for {
@@ -98,7 +99,7 @@
 	return ok
 }
 
-func (r *rig) edit(name string, f func(b *backend.Backend)) {
+func (r *testBalancer) edit(name string, f func(b *backend.Backend)) {
 	l := append([]backend.Backend(nil), r.list...)
 	for i := range l {
 		if l[i].Name == name {
@@ -119,7 +120,7 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(e *testscript.Env) error {
-			e.Values["rig"] = newRig()
+			e.Values["balancer"] = newTestBalancer()
 			return nil
 		},
 		Cmds: map[string]command{
@@ -131,7 +132,7 @@
 			"remove": func(s *testscript.TestScript, _ bool, a []string) {
 				get(s).list = slices.DeleteFunc(slices.Clone(get(s).list), func(b backend.Backend) bool { return b.Name == a[0] })
 			},
-			"own": func(s *testscript.TestScript, _ bool, a []string) { get(s).own[a[0]] = check(s).Number(a[1]) },
+			"own": func(s *testscript.TestScript, _ bool, a []string) { get(s).owned[a[0]] = check(s).Number(a[1]) },
 			"operator": func(s *testscript.TestScript, _ bool, a []string) {
 				get(s).edit(a[0], func(b *backend.Backend) { b.Draining = a[1] == "drains" })
 			},
@@ -144,7 +145,7 @@
 				for i := range check(s).Number(a[0]) {
 					must.True(check(s), get(s).acquire("repeat", a[1]), must.Sprint(i))
 					get(s).slots["repeat"].Release(results[a[2]])
-					get(s).clock.Advance(minLinger)
+					get(s).clock.Advance(minReleaseDelay)
 				}
 			},
 			"probe":   probeCommand,
@@ -190,13 +191,13 @@
 	get(s).balancer.Probed(a[0], h)
 }
 
-func get(s *testscript.TestScript) *rig { return s.Value("rig").(*rig) }
+func get(s *testscript.TestScript) *testBalancer { return s.Value("balancer").(*testBalancer) }
 
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{12, 40} {
 		for _, f := range []float64{0.5, 1} {
 			b.Run(fmt.Sprintf("%d-%v", n, f), func(b *testing.B) {
-				r := newRig()
+				r := newTestBalancer()
 				r.balancer.Random = nil
 				for i := range n {
 					r.list = append(r.list, backend.Backend{Name: strconv.Itoa(i), Slots: 4})
--- a/balancer/lend.go
+++ b/balancer/lend.go
@@ -7,12 +7,14 @@
 	"celeryreach.example/celeryreach/slot"
 )
 
-// spare is how many free slots this host keeps for its own next request.
-const spare = 1
+// reservedSlots is the number of free slots that this host keeps for its own
+// next requests.
+const reservedSlots = 1
 
-// Lend closes a free slot for a time and returns its backend server and a
-// function that ends the loan early. The slot is closed before anybody learns of
-// the loan, so that a lost answer costs a slot for a while and never doubles it.
+// Lend closes a free slot for the duration d and returns its backend server and
+// a function that ends the loan early. The slot is closed before the borrower
+// is notified, so that a lost response makes a slot unavailable for a while but
+// never lets two hosts use it.
 func (b *Balancer) Lend(d time.Duration) (name string, back func(), ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -23,7 +25,7 @@
 	a := 0
 	for _, s := range b.servers {
 		f := b.usable(s, n) - s.busy
-		if f <= 0 || b.out(s, n) {
+		if f <= 0 || b.excluded(s, n) {
 			continue
 		}
 		a += f
@@ -32,12 +34,12 @@
 			m = f
 		}
 	}
-	if a <= spare {
+	if a <= reservedSlots {
 		return "", nil, false
 	}
 	best.lent++
 	e := sync.OnceFunc(func() { best.lent-- })
-	b.kept = append(b.kept, kept{server: best, until: n.Add(d), free: e})
+	b.held = append(b.held, heldSlot{server: best, until: n.Add(d), free: e})
 	b.Clock.AfterFunc(d, b.Tick)
 	return best.backend.Name, func() {
 		b.mu.Lock()
@@ -47,27 +49,29 @@
 	}, true
 }
 
-// Adopt returns a slot on a backend server that a sibling lent. Free is called,
-// under the balancer's lock, when the backend server can have stopped.
+// Adopt returns a slot on a backend server that another host lent. The function
+// free is called, under the balancer's lock, when the backend server can be
+// assumed to have stopped working on the request.
 func (b *Balancer) Adopt(name string, free func()) (slot.Slot, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := b.Clock.Now()
 	b.refresh(n)
-	s := b.known[name]
-	if s == nil || s.index < 0 || s.closed(n) || b.out(s, n) {
+	s := b.byName[name]
+	if s == nil || s.index < 0 || s.isDraining(n) || b.excluded(s, n) {
 		return slot.Slot{}, false
 	}
 	return b.slot(s, n, free), true
 }
 
-// Committed returns how many slots of a backend server are busy or lent. An
-// owner that has to give slots up may report so once this is low enough.
+// Committed returns how many slots of a backend server are busy or lent. A host
+// that must give up slots reports them as given up only once this number is low
+// enough.
 func (b *Balancer) Committed(name string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refresh(b.Clock.Now())
-	s := b.known[name]
+	s := b.byName[name]
 	if s == nil {
 		return 0
 	}
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -6,18 +6,18 @@
 	"celeryreach.example/celeryreach/backend"
 )
 
-// pick returns the backend server to use, nil when no slot is free. When those
-// that are out of use are all there is, they are used after all: a domain is
-// never emptied by judgement, only by drains.
+// pick returns the backend server to use, nil if no slot is free. If only
+// excluded ones remain, they are used nevertheless: a failure domain is emptied
+// only by drains, never by failure detection.
 func (b *Balancer) pick(now time.Time) *server {
-	if s := b.two(now); s != nil {
+	if s := b.pickOfTwo(now); s != nil {
 		return s
 	}
 	var best *server
 	m := 0.0
 	i := false
 	for _, s := range b.servers {
-		if b.out(s, now) {
+		if b.excluded(s, now) {
 			continue
 		}
 		i = i || b.usable(s, now) > 0
@@ -38,8 +38,9 @@
 	return best
 }
 
-// two returns the better one of two that were drawn, nil unless both are free.
-func (b *Balancer) two(now time.Time) *server {
+// pickOfTwo draws two backend servers at random and returns the better one, nil
+// unless both are free.
+func (b *Balancer) pickOfTwo(now time.Time) *server {
 	n := len(b.servers)
 	if n < 2 {
 		return nil
@@ -51,7 +52,7 @@
 	}
 	x := b.servers[i]
 	y := b.servers[j]
-	if b.out(x, now) || b.out(y, now) {
+	if b.excluded(x, now) || b.excluded(y, now) {
 		return nil
 	}
 	f := b.score(x, now)
@@ -66,109 +67,111 @@
 	}
 }
 
-// score is how long a request will probably take, the lower the better, and
-// zero when no slot is free.
+// score returns the relative expected duration of a request: lower is better,
+// and zero means that no slot is free.
 func (b *Balancer) score(s *server, now time.Time) float64 {
 	n := b.usable(s, now)
 	if s.busy >= n {
 		return 0
 	}
 	f := float64(s.busy+1) / float64(n)
-	if s.hold > 0 && b.mean > 0 {
-		f *= min(max(s.hold/b.mean, 1/maxWeight), maxWeight)
+	if s.meanHold > 0 && b.meanHold > 0 {
+		f *= min(max(s.meanHold/b.meanHold, 1/maxScoreFactor), maxScoreFactor)
 	}
-	if now.Sub(s.reported) < reportFor {
-		f *= 1 + s.load
+	if now.Sub(s.reportedAt) < loadReportValidity {
+		f *= 1 + s.reportedLoad
 	}
 	if s.unhealthy(now) {
-		f *= maxWeight
+		f *= maxScoreFactor
 	}
 	return f
 }
 
-// usable returns how many slots this host may use now, busy ones included.
+// usable returns how many slots this host may use now, including busy ones.
 func (b *Balancer) usable(s *server, now time.Time) int {
-	if s.closed(now) {
+	if s.isDraining(now) {
 		return 0
 	}
 	n := b.Slots(s.backend) - s.lent
 	if c := s.backend.Connections; c > 0 {
 		n = min(n, c)
 	}
-	return max(0, s.warm.Slots(n, now))
+	return max(0, s.warmup.Slots(n, now))
 }
 
-// out reports whether a backend server is out of use by judgement.
-func (b *Balancer) out(s *server, now time.Time) bool {
-	return s.away.After(now) || b.outliers.Ejected(s.backend.Name, now)
+// excluded reports whether a backend server is out of use because of refused
+// connections, shed requests or outlier ejection.
+func (b *Balancer) excluded(s *server, now time.Time) bool {
+	return s.avoidUntil.After(now) || b.outliers.Ejected(s.backend.Name, now)
 }
 
-// refresh follows the configuration.
+// refresh frees expired slots and applies configuration changes.
 func (b *Balancer) refresh(now time.Time) {
-	b.settle(now)
+	b.releaseExpired(now)
 	l := b.Backends()
-	if len(l) == len(b.list) && (len(l) == 0 || &l[0] == &b.list[0]) {
+	if len(l) == len(b.lastBackends) && (len(l) == 0 || &l[0] == &b.lastBackends[0]) {
 		return
 	}
-	f := b.known == nil
+	f := b.byName == nil
 	if f {
-		b.known = make(map[string]*server)
-		b.outliers.Consecutive = consecutive
-		b.outliers.For = ejectFor
-		b.outliers.Fraction = ejectFraction
+		b.byName = make(map[string]*server)
+		b.outliers.Consecutive = ejectAfterFailures
+		b.outliers.For = ejectTime
+		b.outliers.Fraction = maxEjectedFraction
 	}
 	for _, s := range b.servers {
 		s.index = -1
 	}
-	b.list = l
+	b.lastBackends = l
 	b.servers = b.servers[:0]
 	b.names = b.names[:0]
 	for i, v := range l {
-		s := b.server(v, f, now)
+		s := b.updateServer(v, f, now)
 		s.index = i
 		b.servers = append(b.servers, s)
 		b.names = append(b.names, v.Name)
 	}
-	b.forget(now)
+	b.removeUnlisted(now)
 }
 
-// server returns the state of a backend server. Those that stand in the first
-// configuration are taken to be warm: a host that starts, which happens
-// thousands of times a day in a large fleet, must not slow down a warm domain.
-func (b *Balancer) server(v backend.Backend, first bool, now time.Time) *server {
-	s := b.known[v.Name]
+// updateServer updates and returns the state of a backend server. Those in the
+// first configuration are considered warm: a host start, which happens
+// thousands of times a day in a large fleet, must not slow down a warm failure
+// domain.
+func (b *Balancer) updateServer(v backend.Backend, first bool, now time.Time) *server {
+	s := b.byName[v.Name]
 	if s == nil {
-		s = &server{linger: minLinger}
-		b.known[v.Name] = s
+		s = &server{releaseDelay: minReleaseDelay}
+		b.byName[v.Name] = s
 		if !first {
-			s.warm.Began = now
+			s.warmup.Began = now
 		}
 	}
 	o := s.backend.Draining
 	s.backend.Name = v.Name
 	switch {
 	case v.Draining && !o:
-		b.drain(s, "Operator", now)
+		b.beginDrain(s, "Operator", now)
 	case v.Draining:
 	case o || s.removed || s.backend.Address != v.Address && s.backend.Address != "":
-		s.warm.Began = now
-		s.sign = ""
+		s.warmup.Began = now
+		s.drainSign = ""
 	}
 	s.removed = false
 	s.backend = v
-	s.warm.For = v.WarmUp
+	s.warmup.For = v.WarmUp
 	return s
 }
 
-// forget drops the backend servers that were removed when their work has ended.
-func (b *Balancer) forget(now time.Time) {
-	for k, s := range b.known {
+// removeUnlisted drops removed backend servers when their requests have ended.
+func (b *Balancer) removeUnlisted(now time.Time) {
+	for k, s := range b.byName {
 		if s.index < 0 && !s.removed {
 			s.removed = true
-			b.drain(s, "Removed", now)
+			b.beginDrain(s, "Removed", now)
 		}
 		if s.index < 0 && s.busy+s.lent == 0 {
-			delete(b.known, k)
+			delete(b.byName, k)
 			b.outliers.Forget(k)
 		}
 	}
--- a/balancer/probed.go
+++ b/balancer/probed.go
@@ -7,9 +7,9 @@
 	"celeryreach.example/celeryreach/health"
 )
 
-// Suspects returns the backend servers to probe: those that are out of use or
-// draining, those that no request has vouched for lately, and those with a
-// health endpoint, which may announce a drain before answers do.
+// Suspects returns the backend servers to probe: those that are excluded or
+// draining, those without a recent successful request, and those with a health
+// endpoint, which may announce a drain before answers do.
 func (b *Balancer) Suspects() []backend.Backend {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -17,62 +17,64 @@
 	b.refresh(n)
 	var r []backend.Backend
 	for _, s := range b.servers {
-		if s.backend.Health != "" || b.out(s, n) || s.closed(n) || n.Sub(s.succeeded) > recent {
+		if s.backend.Health != "" || b.excluded(s, n) || s.isDraining(n) || n.Sub(s.succeededAt) > recentWindow {
 			r = append(r, s.backend)
 		}
 	}
 	return r
 }
 
-// Probed takes the result of a probe. A health endpoint that complains only
-// makes its backend server the last choice, so one that lies cannot empty a
-// domain; one that claims to be well only ends a refusal, so that real requests
-// decide, on one slot at first. It does not end a drain that answers announce.
+// Probed handles the result of a probe. An unhealthy result only makes the
+// backend server the last choice, so that false reports cannot empty a failure
+// domain. A response only ends the exclusion after refusals, so that real
+// requests decide, on one slot at first. It does not end a drain that answers
+// announce.
 func (b *Balancer) Probed(name string, h health.Health) {
 	b.mu.Lock()
 	n := b.Clock.Now()
-	s := b.known[name]
+	s := b.byName[name]
 	if s == nil {
 		b.mu.Unlock()
 		return
 	}
 	if !h.Healthy {
-		s.sick = n
+		s.unhealthyAt = n
 	}
 	if h.Report.Draining {
-		s.claimed = n
+		s.drainClaimedAt = n
 	}
-	s.report(h.Report, n)
+	s.recordLoad(h.Report, n)
 	switch {
-	case h.Report.Draining && b.mayLeave(s, n):
-		if !s.leaving.After(n) {
-			b.drain(s, "Health", n)
+	case h.Report.Draining && b.mayDrainOnProbe(s, n):
+		if !s.drainUntil.After(n) {
+			b.beginDrain(s, "Health", n)
 		}
-		s.leave(n.Add(signFor))
-	case h.Reached && !h.Report.Draining && s.leaving.After(n) && s.signs == 0:
-		s.leaving = n
-		s.warm.Began = n
-	case h.Reached && s.away.After(n):
-		s.away = n
-		s.warm.Began = n
+		s.extendDrain(n.Add(drainSignValidity))
+	case h.Reached && !h.Report.Draining && s.drainUntil.After(n) && s.answerDrains == 0:
+		s.drainUntil = n
+		s.warmup.Began = n
+	case h.Reached && s.avoidUntil.After(n):
+		s.avoidUntil = n
+		s.warmup.Began = n
 	}
 	b.mu.Unlock()
 	b.Released()
 }
 
-// mayLeave bounds the drains that rest on health endpoints alone to an eighth of
-// the backend servers, and one: where all endpoints lie, the domain keeps most of
-// its slots. The others that claim to drain become the last choice. Drains that
-// operators order and that answers to requests announce are not bounded.
-func (b *Balancer) mayLeave(s *server, now time.Time) bool {
-	if s.leaving.After(now) {
+// mayDrainOnProbe limits the drains that rest on health endpoints alone to an
+// eighth of the backend servers, rounded up: if all endpoints report wrongly,
+// the failure domain keeps most of its slots. The others that report a drain
+// become the last choice. Drains that operators order or that answers to
+// requests announce are not limited.
+func (b *Balancer) mayDrainOnProbe(s *server, now time.Time) bool {
+	if s.drainUntil.After(now) {
 		return true
 	}
 	m := 0
 	for _, v := range b.servers {
-		if v.leaving.After(now) && v.signs == 0 {
+		if v.drainUntil.After(now) && v.answerDrains == 0 {
 			m++
 		}
 	}
-	return m < (len(b.servers)+claimDivisor-1)/claimDivisor
+	return m < (len(b.servers)+probeDrainDivisor-1)/probeDrainDivisor
 }
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -8,62 +8,70 @@
 	"celeryreach.example/celeryreach/warmup"
 )
 
-// Reasons for the values are in docs/decisions/0021-balancer.md.
+// The values are explained in docs/decisions/0021-balancer.md.
 const (
 	smoothing = 0.1
-	// maxWeight bounds how much a speed or a hint counts against free slots.
-	maxWeight = 4.0
-	// reportFor is how long a report of load counts.
-	reportFor = 3 * time.Second
-	// signFor is how long one sign of a drain counts; probes renew it.
-	signFor = 10 * time.Second
-	// recent is how long an answered request counts against a bad probe.
-	recent        = 5 * time.Second
-	consecutive   = 5
-	ejectFor      = 5 * time.Second
-	ejectFraction = 0.5
-	claimDivisor  = 8
-	awayFor       = time.Second
-	maxAway       = 8 * time.Second
-	maxDoublings  = 3
-	// shedFor doubles up to 1.28 s while a backend server sheds.
-	shedFor          = 10 * time.Millisecond
-	maxShedDoublings = 7
-	minLinger        = 5 * time.Millisecond
-	maxLinger        = 250 * time.Millisecond
-	lingerDecay      = 50
+	// maxScoreFactor bounds the effect of speed and health on the score,
+	// relative to free slots.
+	maxScoreFactor = 4.0
+	// loadReportValidity is how long a load report is used.
+	loadReportValidity = 3 * time.Second
+	// drainSignValidity is how long one sign of a drain counts; probes renew it.
+	drainSignValidity = 10 * time.Second
+	// recentWindow is how long a successful request and an unfavorable probe
+	// count. A successful request overrides an unhealthy probe.
+	recentWindow       = 5 * time.Second
+	ejectAfterFailures = 5
+	ejectTime          = 5 * time.Second
+	maxEjectedFraction = 0.5
+	probeDrainDivisor  = 8
+	refusedBackoff     = time.Second
+	maxRefusedBackoff  = 8 * time.Second
+	maxDoublings       = 3
+	// shedBackoff doubles up to 1.28 s while a backend server sheds requests.
+	shedBackoff       = 10 * time.Millisecond
+	maxShedDoublings  = 7
+	minReleaseDelay   = 5 * time.Millisecond
+	maxReleaseDelay   = 250 * time.Millisecond
+	releaseDelayDecay = 50
 )
 
-// server is what this host knows of one backend server.
+// server is the state of one backend server as observed by this host.
 type server struct {
 	backend backend.Backend
-	// index is its place in the configuration, -1 when it is not there.
-	index   int
-	removed bool
-	busy    int
-	lent    int
-	hold    float64
-	warm    warmup.Warmup
-	// linger is how long a slot stays taken after a request was cut short.
-	linger   time.Duration
-	load     float64
-	reported time.Time
-	// failing tells that the last answer was an error of the backend server.
-	failing   bool
-	succeeded time.Time
-	sick      time.Time
-	// claimed is when its health endpoint last claimed a drain.
-	claimed  time.Time
-	away     time.Time
-	refusals int
-	sheds    int
-	// leaving is until when a sign of its own keeps new work away.
-	leaving time.Time
-	// signs counts the drains that answers announced without one in between
-	// that did not; each lasts longer.
-	signs  int
-	signed time.Time
-	sign   string
+	// index is the position in the configuration, -1 if it is not listed.
+	index    int
+	removed  bool
+	busy     int
+	lent     int
+	meanHold float64
+	warmup   warmup.Warmup
+	// releaseDelay is how long a slot stays occupied after its request was
+	// aborted.
+	releaseDelay time.Duration
+	reportedLoad float64
+	reportedAt   time.Time
+	// lastAnswerFailed is true if the last answer was a server error.
+	lastAnswerFailed bool
+	succeededAt      time.Time
+	unhealthyAt      time.Time
+	// drainClaimedAt is when the health endpoint last reported a drain.
+	drainClaimedAt time.Time
+	// avoidUntil is the end of the exclusion after refused connections or shed
+	// requests.
+	avoidUntil time.Time
+	refusals   int
+	sheds      int
+	// drainUntil is until when a drain announced by the backend server keeps new
+	// requests away.
+	drainUntil time.Time
+	// answerDrains counts successive drains that answers announced, without an
+	// answer in between that announced none; each lasts longer.
+	answerDrains int
+	drainBegan   time.Time
+	// drainSign is the first sign of the drain in progress, empty if there is
+	// none.
+	drainSign string
 }
 
 // drain is a drain that has ended.
@@ -73,36 +81,38 @@
 	took time.Duration
 }
 
-// closed reports whether a drain keeps new work away.
-func (s *server) closed(now time.Time) bool {
-	return s.backend.Draining || s.leaving.After(now)
+// isDraining reports whether a drain keeps new requests away.
+func (s *server) isDraining(now time.Time) bool {
+	return s.backend.Draining || s.drainUntil.After(now)
 }
 
-// leave keeps new work away until t. Whoever comes back then is cold.
-func (s *server) leave(t time.Time) {
-	s.leaving = t
-	s.warm.Began = t
+// extendDrain keeps new requests away until t. The backend server is considered
+// cold from then on.
+func (s *server) extendDrain(t time.Time) {
+	s.drainUntil = t
+	s.warmup.Began = t
 }
 
-// drained returns the drain that the end of the last request completed.
-func (s *server) drained(now time.Time) *drain {
-	if s.sign == "" || s.busy > 0 {
+// completeDrain ends the drain in progress and returns it, nil if there is none
+// or requests are still in flight.
+func (s *server) completeDrain(now time.Time) *drain {
+	if s.drainSign == "" || s.busy > 0 {
 		return nil
 	}
-	d := &drain{name: s.backend.Name, sign: s.sign, took: now.Sub(s.signed)}
-	s.sign = ""
+	d := &drain{name: s.backend.Name, sign: s.drainSign, took: now.Sub(s.drainBegan)}
+	s.drainSign = ""
 	return d
 }
 
-func (s *server) report(r loadreport.Loadreport, now time.Time) {
+func (s *server) recordLoad(r loadreport.Loadreport, now time.Time) {
 	if r.Known {
-		s.load = r.Load
-		s.reported = now
+		s.reportedLoad = r.Load
+		s.reportedAt = now
 	}
 }
 
-// unhealthy reports whether the health endpoint complains and no request has
-// been answered lately that says otherwise.
+// unhealthy reports whether the health endpoint recently reported a drain, or a
+// problem that no recent successful request contradicts.
 func (s *server) unhealthy(now time.Time) bool {
-	return now.Sub(s.claimed) < recent || now.Sub(s.sick) < recent && now.Sub(s.succeeded) > recent
+	return now.Sub(s.drainClaimedAt) < recentWindow || now.Sub(s.unhealthyAt) < recentWindow && now.Sub(s.succeededAt) > recentWindow
 }
