--- a/slotloan/slotloan.go
+++ b/slotloan/slotloan.go
@@ -1,8 +1,8 @@
 // Package slotloan lends free slots between the hosts of a failure domain. Each
-// slot of a backend server has one owner; a loan lets a sibling run requests on
-// it until a deadline. The owner closes the slot before it answers and opens it
-// again when the loan was returned or its deadline is over. A lost message costs
-// a slot for a while; nothing makes two of one.
+// slot of a backend server has one owner; a loan lets another host run requests
+// on it until a deadline. The owner closes the slot before it responds, and
+// opens it again when the loan was returned or its deadline has passed. A lost
+// message makes a slot unavailable for a while but never lets two hosts use it.
 package slotloan
 
 import (
@@ -18,90 +18,93 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// Prefix starts the names of the limits that are slots; a service follows.
+// Prefix starts the names of slot limits; the name of a service follows.
 const Prefix = "slots/"
 
 const (
-	askTimeout = 100 * time.Millisecond
-	// idle is how long a loan is kept without a request.
-	idle  = 20 * time.Millisecond
-	pause = 20 * time.Millisecond
-	// drift bounds how much faster the borrower's clock runs than the
-	// lender's may: the borrower stops early by this part of the loan.
-	drift = 0.02
-	// stop is the time in which a backend server has stopped after the
-	// deadline that came with a request.
-	stop    = 25 * time.Millisecond
-	pending = 16
+	requestTimeout = 100 * time.Millisecond
+	// idleTimeout is how long a loan is kept without a request.
+	idleTimeout = 20 * time.Millisecond
+	// refusedBackoff is the pause before the next loan request after no host
+	// lent a slot.
+	refusedBackoff = 20 * time.Millisecond
+	// maxClockDrift is the tolerated difference between the clock rates of the
+	// borrower and the lender: the borrower stops early by this fraction of the
+	// loan.
+	maxClockDrift = 0.02
+	// stopTime is the time within which a backend server has stopped working
+	// after the deadline of a request.
+	stopTime   = 25 * time.Millisecond
+	maxPending = 16
 )
 
-// Slotloan is the borrowing and the lending side of one host.
+// Slotloan implements the borrowing and the lending side of one host.
 type Slotloan struct {
-	// Clock measures the loans.
+	// Clock is the time source for loans.
 	Clock clockwork.Clock
 	// Host is the name of this host.
 	Host string
-	// Longest is the longest loan. It must be shorter than the silence after
-	// which others may take the lender's slots, or a slot of a dead lender
-	// would be used twice.
+	// Longest is the maximum duration of a loan. It must be shorter than the
+	// silence after which others may take over the lender's slots, otherwise a
+	// slot of a failed lender would be used twice.
 	Longest time.Duration
-	// Siblings returns hosts of the domain that probably have free slots of a
-	// service, best first.
+	// Siblings returns hosts of the failure domain that probably have free slots
+	// of a service, the best candidate first.
 	Siblings func(service string) []member.Member
-	// Ask sends a message to a host.
+	// Ask sends a borrow or return request to a host.
 	Ask func(ctx context.Context, address string, b *wire.BorrowRequest) (*wire.BorrowResponse, error)
-	// Adopt makes a slot of a borrowed one.
+	// Adopt returns a slot on a backend server that another host lent.
 	Adopt func(service, backend string, free func()) (slot.Slot, bool)
-	// Kick is called when a loan has come in.
+	// Kick is called when a loan was granted to this host.
 	Kick func(service string)
-	// Lend closes an own free slot of a service.
+	// Lend closes a free slot of this host to lend it.
 	Lend func(service string, d time.Duration) (backend string, back func(), ok bool)
 
-	mu       sync.Mutex
-	borrowed []*borrowed
-	lent     map[uint64]lent
-	wanted   map[string]time.Time
-	wants    chan string
-	refused  map[string]time.Time
+	mu        sync.Mutex
+	borrowed  []*borrowedSlot
+	lent      map[uint64]lentSlot
+	requested map[string]time.Time
+	requests  chan string
+	refusedAt map[string]time.Time
 }
 
-// borrowed is one slot that a sibling lent.
-type borrowed struct {
-	id      uint64
-	service string
-	backend string
-	address string
-	until   time.Time
-	used    time.Time
-	busy    bool
+// borrowedSlot is a slot that another host lent to this one.
+type borrowedSlot struct {
+	id       uint64
+	service  string
+	backend  string
+	address  string
+	until    time.Time
+	lastUsed time.Time
+	busy     bool
 }
 
-// lent is one slot that this host lent.
-type lent struct {
-	until time.Time
-	back  func()
+// lentSlot is a slot that this host lent to another one.
+type lentSlot struct {
+	until      time.Time
+	returnSlot func()
 }
 
-// Acquire takes a borrowed slot for a request that ends at a time. If there is
-// none it asks the siblings, and Kick is called when one has lent.
+// Acquire takes a borrowed slot for a request that ends at the given time. If
+// there is none, it requests a loan, and Kick is called when it was granted.
 func (l *Slotloan) Acquire(service string, until time.Time) (slot.Slot, bool) {
-	v := l.take(service, until)
+	v := l.takeBorrowed(service, until)
 	if v == nil {
-		l.want(service, until)
+		l.requestLoan(service, until)
 		return slot.Slot{}, false
 	}
-	// Outside the lock, because the balancer calls free under its own.
-	s, ok := l.Adopt(service, v.backend, func() { l.free(v) })
+	// Outside the lock, because the balancer calls free under its own lock.
+	s, ok := l.Adopt(service, v.backend, func() { l.releaseBorrowed(v) })
 	if !ok {
-		l.free(v)
+		l.releaseBorrowed(v)
 	}
 	return s, ok
 }
 
-// Run asks for and returns loans until ctx ends.
+// Run requests and returns loans until ctx ends.
 func (l *Slotloan) Run(ctx context.Context) error {
-	c := l.channel()
-	t := l.Clock.NewTicker(idle)
+	c := l.requestChannel()
+	t := l.Clock.NewTicker(idleTimeout)
 	defer t.Stop()
 	for {
 		select {
@@ -110,15 +113,15 @@
 		case s := <-c:
 			l.borrow(ctx, s)
 		case <-t.Chan():
-			l.giveBack(ctx)
+			l.returnUnused(ctx)
 		}
 	}
 }
 
-// Receive takes a sibling's message.
+// Receive handles a borrow or return request of another host.
 func (l *Slotloan) Receive(b *wire.BorrowRequest) *wire.BorrowResponse {
 	if b.Returned {
-		l.end(b.Loan)
+		l.endLoan(b.Loan)
 		return &wire.BorrowResponse{Lender: l.Host}
 	}
 	d := min(time.Duration(b.ForNanoseconds), l.Longest)
@@ -133,11 +136,11 @@
 	if !ok {
 		return &wire.BorrowResponse{Lender: l.Host}
 	}
-	l.note(b.Loan, lent{until: l.Clock.Now().Add(d), back: f})
+	l.recordLent(b.Loan, lentSlot{until: l.Clock.Now().Add(d), returnSlot: f})
 	return &wire.BorrowResponse{Units: 1, Lender: l.Host, ForNanoseconds: int64(d), Backend: n}
 }
 
-func (l *Slotloan) take(service string, until time.Time) *borrowed {
+func (l *Slotloan) takeBorrowed(service string, until time.Time) *borrowedSlot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, v := range l.borrowed {
@@ -149,19 +152,20 @@
 	return nil
 }
 
-func (l *Slotloan) free(v *borrowed) {
+func (l *Slotloan) releaseBorrowed(v *borrowedSlot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	v.busy = false
-	v.used = l.Clock.Now()
+	v.lastUsed = l.Clock.Now()
 }
 
-// want has the siblings asked, unless they just refused.
-func (l *Slotloan) want(service string, until time.Time) {
-	c := l.channel()
+// requestLoan queues a loan request, unless one is pending, the other hosts
+// have just refused, or the request outlasts the longest loan.
+func (l *Slotloan) requestLoan(service string, until time.Time) {
+	c := l.requestChannel()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, ok := l.wanted[service]; ok || l.Clock.Since(l.refused[service]) < pause {
+	if _, ok := l.requested[service]; ok || l.Clock.Since(l.refusedAt[service]) < refusedBackoff {
 		return
 	}
 	if until.Sub(l.Clock.Now()) > l.usable(l.Longest) {
@@ -169,46 +173,46 @@
 	}
 	select {
 	case c <- service:
-		if l.wanted == nil {
-			l.wanted = make(map[string]time.Time)
-			l.refused = make(map[string]time.Time)
+		if l.requested == nil {
+			l.requested = make(map[string]time.Time)
+			l.refusedAt = make(map[string]time.Time)
 		}
-		l.wanted[service] = until
+		l.requested[service] = until
 	default:
-		// Others wait already; this one asks again with the next request.
+		// The channel is full; the next request for a slot tries again.
 	}
 }
 
-// usable is the part of a loan in which the borrower may start requests that
-// end within it.
+// usable returns the part of a loan of duration d in which the borrower may
+// start requests that end within it.
 func (l *Slotloan) usable(d time.Duration) time.Duration {
-	return d - time.Duration(drift*float64(d)) - stop
+	return d - time.Duration(maxClockDrift*float64(d)) - stopTime
 }
 
 func (l *Slotloan) borrow(ctx context.Context, service string) {
 	defer func() {
 		l.mu.Lock()
-		delete(l.wanted, service)
+		delete(l.requested, service)
 		l.mu.Unlock()
 	}()
 	for _, m := range l.Siblings(service) {
-		if l.ask(ctx, m, service) {
+		if l.borrowFrom(ctx, m, service) {
 			l.Kick(service)
 			return
 		}
 	}
 	l.mu.Lock()
-	l.refused[service] = l.Clock.Now()
+	l.refusedAt[service] = l.Clock.Now()
 	l.mu.Unlock()
 }
 
-func (l *Slotloan) ask(ctx context.Context, m member.Member, service string) bool {
-	x, f := clockwork.WithTimeout(ctx, l.Clock, askTimeout)
+func (l *Slotloan) borrowFrom(ctx context.Context, m member.Member, service string) bool {
+	x, f := clockwork.WithTimeout(ctx, l.Clock, requestTimeout)
 	defer f()
-	// Counted from before the message left, so that the loan ends here before
-	// it ends with the lender, however long the answer took.
+	// The loan is timed from before the request is sent, so that it ends here
+	// before it ends at the lender, however long the response takes.
 	t := l.Clock.Now()
-	v := &borrowed{id: rand.Uint64(), service: service, address: m.PeerAddress, used: t}
+	v := &borrowedSlot{id: rand.Uint64(), service: service, address: m.PeerAddress, lastUsed: t}
 	r, err := l.Ask(x, m.PeerAddress, &wire.BorrowRequest{
 		Limit: Prefix + service, Units: 1, Borrower: l.Host, ForNanoseconds: int64(l.Longest), Loan: v.id,
 	})
@@ -217,35 +221,36 @@
 	}
 	v.backend = r.Backend
 	v.until = t.Add(l.usable(time.Duration(r.ForNanoseconds)))
-	v.used = l.Clock.Now()
+	v.lastUsed = l.Clock.Now()
 	l.mu.Lock()
 	l.borrowed = append(l.borrowed, v)
 	l.mu.Unlock()
 	return true
 }
 
-// giveBack returns the loans that nobody used for a while. They are forgotten
-// first: after a message that may have arrived the slot is the lender's again.
-func (l *Slotloan) giveBack(ctx context.Context) {
-	for _, v := range l.unused() {
-		x, f := clockwork.WithTimeout(ctx, l.Clock, askTimeout)
-		// If this is lost, the loan ends by its deadline.
+// returnUnused returns the loans that have not been used for a while. They are
+// removed first, because the slot belongs to the lender again as soon as the
+// message may have arrived.
+func (l *Slotloan) returnUnused(ctx context.Context) {
+	for _, v := range l.removeUnused() {
+		x, f := clockwork.WithTimeout(ctx, l.Clock, requestTimeout)
+		// If the message is lost, the loan ends at its deadline.
 		_, _ = l.Ask(x, v.address, &wire.BorrowRequest{Limit: Prefix + v.service, Borrower: l.Host, Loan: v.id, Returned: true})
 		f()
 	}
 }
 
-func (l *Slotloan) unused() []*borrowed {
+func (l *Slotloan) removeUnused() []*borrowedSlot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := l.Clock.Now()
-	var r, k []*borrowed
+	var r, k []*borrowedSlot
 	for _, v := range l.borrowed {
 		switch {
 		case v.busy:
 			k = append(k, v)
-		case n.After(v.until): // over, nothing to return
-		case n.Sub(v.used) >= idle:
+		case n.After(v.until): // expired, nothing to return
+		case n.Sub(v.lastUsed) >= idleTimeout:
 			r = append(r, v)
 		default:
 			k = append(k, v)
@@ -255,7 +260,7 @@
 	return r
 }
 
-func (l *Slotloan) note(id uint64, v lent) {
+func (l *Slotloan) recordLent(id uint64, v lentSlot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := l.Clock.Now()
@@ -265,26 +270,26 @@
 		}
 	}
 	if l.lent == nil {
-		l.lent = make(map[uint64]lent)
+		l.lent = make(map[uint64]lentSlot)
 	}
 	l.lent[id] = v
 }
 
-func (l *Slotloan) end(id uint64) {
+func (l *Slotloan) endLoan(id uint64) {
 	l.mu.Lock()
 	v, ok := l.lent[id]
 	delete(l.lent, id)
 	l.mu.Unlock()
 	if ok {
-		v.back()
+		v.returnSlot()
 	}
 }
 
-func (l *Slotloan) channel() chan string {
+func (l *Slotloan) requestChannel() chan string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.wants == nil {
-		l.wants = make(chan string, pending)
+	if l.requests == nil {
+		l.requests = make(chan string, maxPending)
 	}
-	return l.wants
+	return l.requests
 }
--- a/slotloan/slotloan_test.go
+++ b/slotloan/slotloan_test.go
@@ -22,36 +22,37 @@
 
 const (
 	total = 4
-	// silence is after how long the slots of a dead host are taken over.
-	silence = 3 * time.Second
+	// takeoverDelay is the time after which the slots of a failed host are taken
+	// over.
+	takeoverDelay = 3 * time.Second
 )
 
-// site is a failure domain with one backend server and three hosts, whose
-// clocks run at different speeds. It counts what really runs.
-type site struct {
-	draw    func(n int) int
-	broken  bool
-	elapsed time.Duration
-	hosts   []*host
-	list    []backend.Backend
-	running []*run
-	late    []func()
-	granted int
+// testDomain is a failure domain with one backend server and three hosts, whose
+// clocks run at different rates. It tracks the requests that really run.
+type testDomain struct {
+	draw             func(n int) int
+	lendersKeepSlots bool
+	elapsed          time.Duration
+	hosts            []*host
+	list             []backend.Backend
+	running          []*run
+	delayedReturns   []func()
+	granted          int
 }
 
 type host struct {
-	site     *site
-	name     string
-	speed    float64
-	clock    *clockwork.FakeClock
-	balancer *balancer.Balancer
-	loan     *Slotloan
-	owned    int
-	inherits time.Duration
-	paused   bool
-	dead     bool
-	// ended are slots whose requests met their deadlines.
-	ended []slot.Slot
+	domain     *testDomain
+	name       string
+	speed      float64
+	clock      *clockwork.FakeClock
+	balancer   *balancer.Balancer
+	loan       *Slotloan
+	owned      int
+	takeoverAt time.Duration
+	paused     bool
+	dead       bool
+	// expired are the slots of requests that reached their deadlines.
+	expired []slot.Slot
 }
 
 // run is a request on the backend server, which ends it at its deadline.
@@ -61,16 +62,16 @@
 	ends time.Duration
 }
 
-func newSite(draw func(int) int, broken bool) *site {
-	x := &site{draw: draw, broken: broken, list: []backend.Backend{{Name: "b", Slots: total}}}
+func newTestDomain(draw func(int) int, broken bool) *testDomain {
+	x := &testDomain{draw: draw, lendersKeepSlots: broken, list: []backend.Backend{{Name: "b", Slots: total}}}
 	for i, n := range []string{"one", "two", "three"} {
-		h := &host{site: x, name: n, speed: []float64{0.99, 1, 1.01}[i], clock: clockwork.NewFakeClock(), owned: []int{2, 1, 1}[i]}
+		h := &host{domain: x, name: n, speed: []float64{0.99, 1, 1.01}[i], clock: clockwork.NewFakeClock(), owned: []int{2, 1, 1}[i]}
 		h.balancer = &balancer.Balancer{
 			Clock: h.clock, Backends: func() []backend.Backend { return x.list }, Released: func() {},
 			Slots: func(backend.Backend) int { return h.owned },
 		}
 		h.loan = &Slotloan{
-			Clock: h.clock, Host: n, Longest: silence - 300*time.Millisecond, Ask: x.ask, Kick: func(string) {},
+			Clock: h.clock, Host: n, Longest: takeoverDelay - 300*time.Millisecond, Ask: x.send, Kick: func(string) {},
 			Siblings: func(string) []member.Member { return x.siblings(h) },
 			Adopt:    func(_, b string, f func()) (slot.Slot, bool) { return h.balancer.Adopt(b, f) },
 			Lend:     h.lend,
@@ -83,15 +84,15 @@
 func (h *host) lend(_ string, d time.Duration) (string, func(), bool) {
 	n, f, ok := h.balancer.Lend(d)
 	if ok {
-		h.site.granted++
-		if h.site.broken {
+		h.domain.granted++
+		if h.domain.lendersKeepSlots {
 			f() // lends without closing its own slot
 		}
 	}
 	return n, f, ok
 }
 
-func (x *site) siblings(h *host) []member.Member {
+func (x *testDomain) siblings(h *host) []member.Member {
 	var r []member.Member
 	for _, v := range x.hosts {
 		if v != h {
@@ -101,16 +102,16 @@
 	return r
 }
 
-// ask is the network: messages and answers get lost, come late, and returns
-// are overtaken by what was sent after them.
-func (x *site) ask(_ context.Context, a string, b *wire.BorrowRequest) (*wire.BorrowResponse, error) {
+// send simulates the network: messages and responses are lost or late, and
+// returns arrive after messages that were sent later.
+func (x *testDomain) send(_ context.Context, a string, b *wire.BorrowRequest) (*wire.BorrowResponse, error) {
 	h := x.hosts[slices.IndexFunc(x.hosts, func(h *host) bool { return h.name == a })]
 	f := x.draw(6)
 	if h.dead || h.paused || f == 0 {
 		return nil, errors.New("lost")
 	}
 	if b.Returned && f == 1 {
-		x.late = append(x.late, func() { h.loan.Receive(b) })
+		x.delayedReturns = append(x.delayedReturns, func() { h.loan.Receive(b) })
 		return nil, errors.New("late")
 	}
 	r := h.loan.Receive(b)
@@ -123,7 +124,7 @@
 	return r, nil
 }
 
-func (x *site) advance(d time.Duration) {
+func (x *testDomain) advance(d time.Duration) {
 	x.elapsed += d
 	for _, h := range x.hosts {
 		h.clock.Advance(time.Duration(float64(d) * h.speed))
@@ -132,19 +133,19 @@
 		if r.ends > x.elapsed {
 			return false
 		}
-		r.host.ended = append(r.host.ended, r.slot)
+		r.host.expired = append(r.host.expired, r.slot)
 		return true
 	})
 	for i, h := range x.hosts {
-		if h.dead && h.owned > 0 && x.elapsed >= h.inherits {
+		if h.dead && h.owned > 0 && x.elapsed >= h.takeoverAt {
 			x.hosts[(i+1)%len(x.hosts)].owned += h.owned
 			h.owned = 0
 		}
 	}
 }
 
-// step does one thing at a random host.
-func (x *site) step() {
+// step performs one random operation at a random host.
+func (x *testDomain) step() {
 	h := x.hosts[x.draw(len(x.hosts))]
 	if h.dead {
 		x.advance(20 * time.Millisecond)
@@ -153,10 +154,10 @@
 	switch x.draw(11) {
 	case 0, 1, 2, 3:
 		if !h.paused {
-			h.start()
+			h.startRequest()
 		}
 	case 4, 5:
-		x.finish(h)
+		x.finishRequest(h)
 	case 6, 7:
 		x.advance(time.Duration(1+x.draw(50)) * time.Millisecond)
 	case 8:
@@ -164,33 +165,33 @@
 	case 9:
 		h.paused = !h.paused
 	case 10:
-		x.rare(h)
+		x.injectFault(h)
 	}
 	if !h.paused {
-		for _, s := range h.ended {
+		for _, s := range h.expired {
 			s.Release(result.Canceled)
 		}
-		h.ended = nil
-		h.loan.giveBack(context.Background())
+		h.expired = nil
+		h.loan.returnUnused(context.Background())
 	}
 }
 
-func (x *site) rare(h *host) {
-	if len(x.late) > 0 {
-		x.late[0]()
-		x.late = x.late[1:]
+func (x *testDomain) injectFault(h *host) {
+	if len(x.delayedReturns) > 0 {
+		x.delayedReturns[0]()
+		x.delayedReturns = x.delayedReturns[1:]
 		return
 	}
 	if x.draw(10) == 0 {
-		// Its connections break, so the backend server stops what it sent.
+		// Its connections break, so the backend server stops its requests.
 		h.dead = true
-		h.inherits = x.elapsed + silence
+		h.takeoverAt = x.elapsed + takeoverDelay
 		x.running = slices.DeleteFunc(x.running, func(r *run) bool { return r.host == h })
 	}
 }
 
-func (h *host) start() {
-	d := time.Duration(1+h.site.draw(2500)) * time.Millisecond
+func (h *host) startRequest() {
+	d := time.Duration(1+h.domain.draw(2500)) * time.Millisecond
 	s, ok := h.balancer.Acquire()
 	if !ok {
 		t := h.clock.Now().Add(d)
@@ -202,11 +203,11 @@
 		}
 	}
 	if ok && d > 0 {
-		h.site.running = append(h.site.running, &run{host: h, slot: s, ends: h.site.elapsed + d})
+		h.domain.running = append(h.domain.running, &run{host: h, slot: s, ends: h.domain.elapsed + d})
 	}
 }
 
-func (x *site) finish(h *host) {
+func (x *testDomain) finishRequest(h *host) {
 	if h.paused {
 		return
 	}
@@ -219,14 +220,14 @@
 	}
 }
 
-// A backend server with four slots gets a fifth request, sheds it or slows all
-// down, when two hosts believe to hold the same slot. Siblings lend slots while
-// messages, answers and returns are lost or late, hosts pause with requests in
-// flight, die and are inherited, and clocks differ by two percent.
+// If two hosts use the same slot, a backend server with four slots gets a fifth
+// request and sheds it or slows down. Here hosts lend slots while messages,
+// responses and returns are lost or late, hosts pause with requests in flight,
+// fail and are taken over, and clocks differ by two percent.
 func TestNeverMoreThanSlots(t *testing.T) {
 	n := 0
 	rapid.Check(t, func(t *rapid.T) {
-		x := newSite(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "") }, false)
+		x := newTestDomain(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "") }, false)
 		for range 120 {
 			x.step()
 			must.LessEq(t, total, len(x.running))
@@ -236,12 +237,12 @@
 	must.Positive(t, n)
 }
 
-// The test above is worth something only if it fails for a host that lends a
-// slot and goes on using it.
+// TestNeverMoreThanSlots must be able to detect a host that lends a slot and
+// continues to use it.
 func TestNeverMoreThanSlotsFindsFault(t *testing.T) {
 	for seed := range uint64(100) {
 		r := rand.New(rand.NewPCG(seed, 0))
-		x := newSite(r.IntN, true)
+		x := newTestDomain(r.IntN, true)
 		for range 120 {
 			x.step()
 			if len(x.running) > total {
@@ -249,20 +250,20 @@
 			}
 		}
 	}
-	t.Fatal("a lender that keeps its slot was not found out")
+	t.Fatal("a lender that keeps using its slot was not detected")
 }
 
-// A studio's requests wait on one host while its sibling has free slots. The
-// host asks, gets a slot for as long as the caller waits, and gives it back.
+// Requests wait on one host while another has free slots. The host borrows a
+// slot for as long as the caller waits, and returns it.
 func TestBorrowAndReturn(t *testing.T) {
-	x := newSite(func(n int) int { return n - 1 }, false)
+	x := newTestDomain(func(n int) int { return n - 1 }, false)
 	h := x.hosts[1]
 	h.owned = 0
 	l := x.hosts[0]
 	until := h.clock.Now().Add(2 * time.Second)
 	_, ok := h.loan.Acquire("s", until)
 	must.False(t, ok)
-	must.EqOp(t, "s", <-h.loan.channel())
+	must.EqOp(t, "s", <-h.loan.requestChannel())
 	h.loan.borrow(t.Context(), "s")
 	s, ok := h.loan.Acquire("s", until)
 	must.True(t, ok)
@@ -273,6 +274,6 @@
 	_, ok = h.loan.Acquire("s", h.clock.Now().Add(time.Minute))
 	must.False(t, ok, must.Sprint("the request would outlive the loan"))
 	x.advance(50 * time.Millisecond)
-	h.loan.giveBack(t.Context())
+	h.loan.returnUnused(t.Context())
 	must.EqOp(t, 0, l.balancer.Committed("b"))
 }
