--- a/load/load.go
+++ b/load/load.go
@@ -1,14 +1,14 @@
-// Package load describes the load of a service on one host.
+// Package load defines the load of a service on one host.
 package load
 
-// Load is what a host counts itself, of its own slots.
+// Load is the load of a service, as counted by a host on its own slots.
 type Load struct {
-	// Service is the service.
+	// Service is the name of the service.
 	Service string
-	// Slots are the slots that the host may use now.
+	// Slots is the number of slots that the host may use now.
 	Slots int
-	// Busy are the slots in use.
+	// Busy is the number of slots in use.
 	Busy int
-	// Waiting are the requests that wait for a slot.
+	// Waiting is the number of requests that wait for a slot.
 	Waiting int
 }
--- a/loadreport/loadreport.go
+++ b/loadreport/loadreport.go
@@ -1,4 +1,4 @@
-// Package loadreport reads what a backend server says of itself in the header
+// Package loadreport parses the load report of a backend server in the header
 // of an answer.
 package loadreport
 
@@ -8,25 +8,26 @@
 	"strconv"
 )
 
-// Header fields of a report. Callers never see them.
+// Header fields of a load report. They are removed from the answers to callers.
 const (
-	// LoadHeader is the busy part of the backend server, 1 when it is full.
+	// LoadHeader is the fraction of the backend server's capacity in use, 1 if
+	// it is full.
 	LoadHeader = "X-Backend-Load"
-	// DrainingHeader is present when it wants no new work.
+	// DrainingHeader is present if the backend server wants no new requests.
 	DrainingHeader = "X-Backend-Draining"
 )
 
-// Loadreport is one report. It lags and may mislead.
+// Loadreport is one load report. It is delayed and may be wrong.
 type Loadreport struct {
-	// Load is the busy part, between 0 and 1.
+	// Load is the fraction of the capacity in use, between 0 and 1.
 	Load float64
-	// Known tells whether Load was given.
+	// Known is true if Load was given.
 	Known bool
-	// Draining is the wish for no new work.
+	// Draining is true if the backend server wants no new requests.
 	Draining bool
 }
 
-// Take reads the report and removes it from the header.
+// Take parses the load report and removes it from the header.
 func Take(h http.Header) Loadreport {
 	f, err := strconv.ParseFloat(h.Get(LoadHeader), 64)
 	r := Loadreport{Known: err == nil && !math.IsNaN(f), Draining: h.Get(DrainingHeader) != ""}
--- a/result/result.go
+++ b/result/result.go
@@ -1,22 +1,23 @@
-// Package result names what became of a request that held a slot.
+// Package result defines the results of requests that held a slot.
 package result
 
-// Result tells the balancer what became of the request.
+// Result is the result of a request, for the balancer.
 type Result int
 
 // Values of Result.
 const (
-	// Succeeded is a whole answer.
+	// Succeeded is a complete answer.
 	Succeeded Result = iota
-	// Shed is the backend server's own refusal: it did not run the request.
+	// Shed is a refusal by the backend server, which did not run the request.
 	Shed
 	// Failed is an error or a broken answer.
 	Failed
-	// Canceled is a caller that left; it says nothing of the backend server.
+	// Canceled is a caller that left; it is no information about the backend
+	// server.
 	Canceled
 	// Refused is a connection that could not be opened.
 	Refused
-	// Unused is a slot that no request was sent on.
+	// Unused is a slot on which no request was sent.
 	Unused
 )
 
--- a/slot/slot.go
+++ b/slot/slot.go
@@ -1,4 +1,4 @@
-// Package slot describes the right to run one request on a backend server.
+// Package slot defines the right to run one request on a backend server.
 package slot
 
 import (
@@ -8,14 +8,14 @@
 	"celeryreach.example/celeryreach/result"
 )
 
-// Slot is held from before a request leaves until the backend server has
+// Slot is held from before a request is sent until the backend server has
 // stopped working on it.
 type Slot struct {
-	// Backend is the backend server that has room.
+	// Backend is the backend server that runs the request.
 	Backend backend.Backend
-	// Answered tells the status and header of the answer when they arrive. It
-	// takes the backend server's report on itself out of the header.
+	// Answered is called with the status and header of the answer when they
+	// arrive. It removes the backend server's load report from the header.
 	Answered func(status int, h http.Header)
-	// Release gives the slot back. Only the first call counts.
+	// Release frees the slot. Only the first call has an effect.
 	Release func(r result.Result)
 }
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -1,14 +1,14 @@
-// Package usage describes how full the slots of a service were.
+// Package usage defines the slot utilization of a service.
 package usage
 
-// Usage sums samples of one service on one host in one minute.
+// Usage sums the samples of one service on one host in one minute.
 type Usage struct {
-	// Minute is the minute, in minutes since 1970.
+	// Minute is the time in minutes since 1970.
 	Minute int64
-	// Service is the service.
+	// Service is the name of the service.
 	Service string
-	// Slots sums the slots that the host could use.
+	// Slots is the sum of the slots that the host could use.
 	Slots uint64
-	// Busy sums those in use.
+	// Busy is the sum of the slots in use.
 	Busy uint64
 }
