--- a/backendtrial/backendtrial.go
+++ b/backendtrial/backendtrial.go
@@ -1,5 +1,5 @@
 // Package backendtrial simulates the backend servers of a service while one of
-// them is in trouble, and compares balancers on the same requests.
+// them is faulty, and compares balancers on the same requests.
 package backendtrial
 
 import (
@@ -21,109 +21,110 @@
 )
 
 const (
-	count = 12
-	slots = 4
-	work  = 20 * time.Millisecond
-	load  = 0.6
-	// strikes is when the trouble begins, and late how long afterwards the
-	// system should have dealt with it.
-	strikes    = 5 * time.Second
-	late       = 2 * time.Second
-	maxWait    = time.Second
-	tick       = time.Millisecond
-	probeEvery = 2 * time.Second
-	// notice is how long a backend server works on after a cancel.
-	notice = 4 * time.Millisecond
+	backendCount    = 12
+	slotsPerBackend = 4
+	meanWork        = 20 * time.Millisecond
+	offeredLoad     = 0.6
+	// faultBegins is when the fault begins, and recoveryTime how long afterwards
+	// the system should have handled it.
+	faultBegins   = 5 * time.Second
+	recoveryTime  = 2 * time.Second
+	maxWait       = time.Second
+	tick          = time.Millisecond
+	probeInterval = 2 * time.Second
+	// cancelDelay is how long a backend server continues to work after a cancel.
+	cancelDelay = 4 * time.Millisecond
 )
 
-// Backendtrial is one run.
+// Backendtrial is one simulation run.
 type Backendtrial struct {
 	// Seed makes the run repeatable.
 	Seed uint64
-	// For is the simulated time; trouble begins at 5 s.
+	// For is the simulated time; the fault begins at 5 s.
 	For time.Duration
-	// Trouble is one of Troubles.
+	// Trouble is the kind of fault, one of Troubles.
 	Trouble string
-	// First tells to use the first version's balancer, the baseline.
+	// First selects the balancer of the first version, the baseline.
 	First bool
 
-	time     *timeline.Timeline
+	timeline *timeline.Timeline
 	random   *rand.Rand
-	list     []backend.Backend
+	backends []backend.Backend
 	acquire  func() (slot.Slot, bool)
 	queue    *queue.Queue
 	balancer *balancer.Balancer
 	running  []int
-	tally    tally
+	counts   counts
 }
 
-// tally is what happened.
-type tally struct {
+// counts are the totals of a run.
+type counts struct {
 	sent, answered, failed, refused int
-	// shed counts requests that met a backend server with all slots taken.
+	// shed counts requests sent to a backend server with all slots busy.
 	shed int
-	// afterwards counts the requests that the troubled one got when the
-	// system should have dealt with it.
-	afterwards int
-	latencies  []time.Duration
+	// afterRecovery counts the requests sent to the faulty backend server after
+	// the system should have handled the fault.
+	afterRecovery int
+	latencies     []time.Duration
 }
 
-// Troubles are the kinds of trouble.
+// Troubles returns the kinds of faults.
 func Troubles() []string {
 	return []string{"none", "fails fast", "slow", "refuses", "leaves", "cold", "callers cancel", "health lies"}
 }
 
-// Run simulates and returns a line of a report.
+// Run runs the simulation and returns a line of a report.
 func (b *Backendtrial) Run() string {
-	b.time = timeline.New()
+	b.timeline = timeline.New()
 	b.random = rand.New(rand.NewPCG(b.Seed, 0))
-	b.running = make([]int, count)
+	b.running = make([]int, backendCount)
 	b.build()
-	r := load * count * slots / work.Seconds()
+	r := offeredLoad * backendCount * slotsPerBackend / meanWork.Seconds()
 	for t := time.Duration(0); t < b.For; t += time.Duration(b.random.ExpFloat64() / r * float64(time.Second)) {
-		w := time.Duration(b.random.ExpFloat64() * float64(work))
+		w := time.Duration(b.random.ExpFloat64() * float64(meanWork))
 		c := b.random.Float64() < 0.6
-		b.time.At(t, func() { b.arrive(t, w, c) })
+		b.timeline.At(t, func() { b.arrive(t, w, c) })
 	}
 	for t := time.Duration(0); t < b.For+maxWait; t += tick {
-		b.time.At(t, func() {})
+		b.timeline.At(t, func() {})
 	}
-	for t := probeEvery; t < b.For; t += probeEvery {
-		b.time.At(t, b.probe)
+	for t := probeInterval; t < b.For; t += probeInterval {
+		b.timeline.At(t, b.probe)
 	}
-	b.time.At(strikes, b.strike)
-	b.time.Run(b.queue.Sweep)
+	b.timeline.At(faultBegins, b.injectFault)
+	b.timeline.Run(b.queue.Sweep)
 	return b.report()
 }
 
 func (b *Backendtrial) build() {
-	for i := range count {
-		b.list = append(b.list, backend.Backend{Name: fmt.Sprint(i), Slots: slots, WarmUp: 8 * time.Second, Health: "/health"})
+	for i := range backendCount {
+		b.backends = append(b.backends, backend.Backend{Name: fmt.Sprint(i), Slots: slotsPerBackend, WarmUp: 8 * time.Second, Health: "/health"})
 	}
 	if b.Trouble == "cold" {
-		b.list = b.list[1:] // the first appears later
+		b.backends = b.backends[1:] // the first one is added when the fault begins
 	}
 	b.balancer = &balancer.Balancer{
-		Clock: b.time.Clock, Backends: func() []backend.Backend { return b.list }, Released: func() {},
+		Clock: b.timeline.Clock, Backends: func() []backend.Backend { return b.backends }, Released: func() {},
 		Slots: func(v backend.Backend) int { return v.Slots }, Random: b.random.IntN,
 	}
 	b.acquire = b.balancer.Acquire
 	if b.First {
-		b.acquire = b.first()
+		b.acquire = b.baseline()
 	}
-	b.queue = &queue.Queue{Clock: b.time.Clock, Acquire: b.acquire, Limit: 10_000, Patience: 100 * time.Millisecond}
+	b.queue = &queue.Queue{Clock: b.timeline.Clock, Acquire: b.acquire, Limit: 10_000, Patience: 100 * time.Millisecond}
 }
 
-func (b *Backendtrial) strike() {
+func (b *Backendtrial) injectFault() {
 	if b.Trouble == "cold" {
-		b.list = append([]backend.Backend{{Name: "0", Slots: slots, WarmUp: 8 * time.Second, Health: "/health"}}, b.list...)
+		b.backends = append([]backend.Backend{{Name: "0", Slots: slotsPerBackend, WarmUp: 8 * time.Second, Health: "/health"}}, b.backends...)
 	}
 }
 
-// probe plays the health endpoints, which tell the truth unless they lie.
+// probe simulates the health endpoints, which report the real state except for
+// the fault "health lies".
 func (b *Backendtrial) probe() {
 	for _, v := range b.balancer.Suspects() {
-		a := v.Name == "0" && b.struck() && (b.Trouble == "refuses" || b.Trouble == "fails fast")
+		a := v.Name == "0" && b.faulty() && (b.Trouble == "refuses" || b.Trouble == "fails fast")
 		h := health.Health{Reached: !a || b.Trouble != "refuses", Healthy: !a}
 		if b.Trouble == "health lies" {
 			h = health.Health{Reached: true, Report: loadreport.Loadreport{Draining: true}}
@@ -132,22 +133,22 @@
 	}
 }
 
-func (b *Backendtrial) struck() bool {
-	return b.time.Now() >= strikes
+func (b *Backendtrial) faulty() bool {
+	return b.timeline.Now() >= faultBegins
 }
 
-// arrive lets a request wait for a slot; the events that follow look for it.
+// arrive adds a request to the queue and polls for its decision.
 func (b *Backendtrial) arrive(at, w time.Duration, cancels bool) {
-	b.tally.sent++
+	b.counts.sent++
 	d, _ := b.queue.Enter(context.Background(), "a", maxWait)
 	var look func()
 	look = func() {
 		s, o, ok := d()
 		switch {
 		case !ok:
-			b.time.At(b.time.Now()+tick, look)
+			b.timeline.At(b.timeline.Now()+tick, look)
 		case o.Outcome != "":
-			b.tally.refused++
+			b.counts.refused++
 		default:
 			b.start(at, w, cancels, s)
 		}
@@ -160,38 +161,39 @@
 	n := s.Backend.Name
 	i := 0
 	_, _ = fmt.Sscan(n, &i)
-	a := i == 0 && b.struck()
-	if a && b.time.Now() >= strikes+late {
-		b.tally.afterwards++
+	a := i == 0 && b.faulty()
+	if a && b.timeline.Now() >= faultBegins+recoveryTime {
+		b.counts.afterRecovery++
 	}
 	if a && b.Trouble == "refuses" {
 		b.end(at, time.Millisecond, s, result.Refused, http.StatusOK)
 		return
 	}
-	if b.running[i] >= slots {
-		b.tally.shed++
+	if b.running[i] >= slotsPerBackend {
+		b.counts.shed++
 		b.end(at, time.Millisecond, s, result.Shed, http.StatusOK)
 		return
 	}
 	b.running[i]++
-	w, r, c := b.course(a, w, cancels)
+	w, r, c := b.serve(a, w, cancels)
 	e := w
 	if r == result.Canceled {
-		e += notice
+		e += cancelDelay
 	}
-	b.time.At(b.time.Now()+e, func() { b.running[i]-- })
+	b.timeline.At(b.timeline.Now()+e, func() { b.running[i]-- })
 	b.end(at, w, s, r, c)
 }
 
-// course returns how a request runs that would take w without trouble.
-func (b *Backendtrial) course(bad bool, w time.Duration, cancels bool) (time.Duration, result.Result, int) {
+// serve returns the duration, the result and the status of a request that would
+// take w without a fault.
+func (b *Backendtrial) serve(bad bool, w time.Duration, cancels bool) (time.Duration, result.Result, int) {
 	switch {
 	case bad && b.Trouble == "fails fast":
 		return time.Millisecond, result.Succeeded, http.StatusInternalServerError
 	case bad && b.Trouble == "slow":
 		return 10 * w, result.Succeeded, http.StatusOK
 	case bad && b.Trouble == "cold":
-		t := (b.time.Now() - strikes).Seconds()
+		t := (b.timeline.Now() - faultBegins).Seconds()
 		return time.Duration(float64(w) * (1 + 9*max(0, 1-t/8))), result.Succeeded, http.StatusOK
 	case cancels && b.Trouble == "callers cancel":
 		return w / 2, result.Canceled, http.StatusOK
@@ -200,12 +202,12 @@
 	}
 }
 
-// end gives the slot back after the time w.
+// end records the answer and releases the slot after the time w.
 func (b *Backendtrial) end(at, w time.Duration, s slot.Slot, r result.Result, status int) {
-	b.time.At(b.time.Now()+w, func() {
+	b.timeline.At(b.timeline.Now()+w, func() {
 		if r == result.Succeeded {
 			h := http.Header{}
-			if b.Trouble == "leaves" && s.Backend.Name == "0" && b.struck() {
+			if b.Trouble == "leaves" && s.Backend.Name == "0" && b.faulty() {
 				h.Set(loadreport.DrainingHeader, "yes")
 			}
 			s.Answered(status, h)
@@ -213,20 +215,20 @@
 		switch {
 		case r == result.Canceled:
 		case r == result.Succeeded && status == http.StatusOK:
-			b.tally.answered++
-			b.tally.latencies = append(b.tally.latencies, b.time.Now()-at)
+			b.counts.answered++
+			b.counts.latencies = append(b.counts.latencies, b.timeline.Now()-at)
 		default:
-			b.tally.failed++
+			b.counts.failed++
 		}
 		s.Release(r)
 	})
 }
 
 func (b *Backendtrial) report() string {
-	t := &b.tally
+	t := &b.counts
 	slices.Sort(t.latencies)
 	q := func(f float64) time.Duration {
 		return t.latencies[int(f*float64(len(t.latencies)-1))].Round(100 * time.Microsecond)
 	}
-	return fmt.Sprintf("%d %d %d %d %d %d %s %s", t.sent, t.answered, t.failed, t.refused, t.shed, t.afterwards, q(0.5), q(0.99))
+	return fmt.Sprintf("%d %d %d %d %d %d %s %s", t.sent, t.answered, t.failed, t.refused, t.shed, t.afterRecovery, q(0.5), q(0.99))
 }
--- a/backendtrial/first.go
+++ b/backendtrial/baseline.go
@@ -7,14 +7,14 @@
 	"celeryreach.example/celeryreach/slot"
 )
 
-// first is the baseline: the backend server with the greatest free part, by own
-// counts alone.
-func (b *Backendtrial) first() func() (slot.Slot, bool) {
+// baseline is the first version's balancer: it picks the backend server with
+// the greatest fraction of free slots, by its own counts alone.
+func (b *Backendtrial) baseline() func() (slot.Slot, bool) {
 	u := make(map[string]int)
 	return func() (slot.Slot, bool) {
 		p := -1
 		m := 0.0
-		for i, v := range b.list {
+		for i, v := range b.backends {
 			if f := float64(v.Slots-u[v.Name]) / float64(v.Slots); f > m {
 				p = i
 				m = f
@@ -23,7 +23,7 @@
 		if p < 0 {
 			return slot.Slot{}, false
 		}
-		v := b.list[p]
+		v := b.backends[p]
 		u[v.Name]++
 		return slot.Slot{
 			Backend:  v,
