--- a/contention/contention.go
+++ b/contention/contention.go
@@ -1,5 +1,5 @@
-// Package contention simulates the waiting line of a failure domain while one
-// large client account sends several times its rate and most callers leave. It
+// Package contention simulates the queue of a failure domain while one large
+// client account sends several times its rate and most callers leave. It
 // compares queues on the same arrivals.
 package contention
 
@@ -16,63 +16,65 @@
 const (
 	accounts = 8
 	slots    = 40
-	// hold is the mean time that a request holds a slot.
-	hold = 20 * time.Millisecond
-	// load is the part of the slots that all accounts use together at their
-	// own rates.
-	load = 0.7
-	// excess is the large account's traffic in multiples of its rate.
-	excess = 5
-	// large is the large account's part of the load, at its own rate.
-	large = 0.3
-	// leaving is the part of the callers that leave, after leaveAfter on average.
-	leaving    = 0.6
-	leaveAfter = 300 * time.Millisecond
-	maxWait    = time.Second
-	sweepEvery = 50 * time.Millisecond
+	// meanHold is the mean time that a request holds a slot.
+	meanHold = 20 * time.Millisecond
+	// baseLoad is the fraction of the slots that all accounts use together at
+	// their own rates.
+	baseLoad = 0.7
+	// largeExcess is the large account's traffic as a multiple of its rate.
+	largeExcess = 5
+	// largeLoadFraction is the large account's fraction of the load, at its own
+	// rate.
+	largeLoadFraction = 0.3
+	// leavingFraction is the fraction of the callers that leave, after
+	// meanLeaveAfter on average.
+	leavingFraction = 0.6
+	meanLeaveAfter  = 300 * time.Millisecond
+	maxWait         = time.Second
+	sweepInterval   = 50 * time.Millisecond
 )
 
-// Contention is one run. The same Seed gives the same arrivals whatever the
-// queue is.
+// Contention is one simulation run. The same Seed gives the same arrivals for
+// every queue.
 type Contention struct {
 	// Seed makes the run repeatable.
 	Seed uint64
 	// For is the simulated time.
 	For time.Duration
-	// Fair tells to use package queue; false means one line in order of
-	// arrival, as the first version had.
+	// Fair selects package queue; false selects a single queue in order of
+	// arrival, as in the first version.
 	Fair bool
-	// Patience is that of the queue.
+	// Patience is the setting of the queue.
 	Patience time.Duration
 
-	time    *timeline.Timeline
-	used    int
-	line    line
-	callers []*caller
-	open    []*caller
+	timeline  *timeline.Timeline
+	busySlots int
+	queue     queueFuncs
+	callers   []*caller
+	undecided []*caller
 }
 
-// line is what a queue offers to the simulation.
-type line struct {
+// queueFuncs are the operations of a queue that the simulation uses.
+type queueFuncs struct {
 	enter func(c *caller)
 	leave func(c *caller)
 	kick  func()
 	sweep func()
 }
 
-// caller is one request with all that was drawn for it.
+// caller is one request with its random parameters.
 type caller struct {
-	account int
-	arrives time.Duration
-	hold    time.Duration
-	leaves  time.Duration // zero: stays
-	gone    bool
-	decided func() (slot.Slot, string, bool)
-	leave   func()
-	granted time.Duration
-	refused time.Duration
-	ended   time.Duration
-	state   state
+	account   int
+	arrivesAt time.Duration
+	hold      time.Duration
+	leavesAt  time.Duration // zero if the caller stays
+	gone      bool
+	decided   func() (slot.Slot, string, bool)
+	leave     func()
+	grantedAt time.Duration
+	refusedAt time.Duration
+	endedAt   time.Duration
+	state     state
 }
 
 type state int
@@ -86,23 +88,23 @@
 	wasted
 )
 
-// Run simulates and returns the lines of a report.
+// Run runs the simulation and returns the lines of a report.
 func (c *Contention) Run() []string {
-	c.time = timeline.New()
-	c.line = c.first()
+	c.timeline = timeline.New()
+	c.queue = c.fifoQueue()
 	if c.Fair {
-		c.line = c.fair()
+		c.queue = c.fairQueue()
 	}
-	c.draw()
-	for t := time.Duration(0); t < c.For; t += sweepEvery {
-		c.time.At(t, func() { c.line.sweep() })
+	c.schedule()
+	for t := time.Duration(0); t < c.For; t += sweepInterval {
+		c.timeline.At(t, func() { c.queue.sweep() })
 	}
-	c.time.Run(c.settle)
+	c.timeline.Run(c.applyDecisions)
 	return c.report()
 }
 
-// draw fixes the whole run before it begins.
-func (c *Contention) draw() {
+// schedule draws all arrivals and departures before the run begins.
+func (c *Contention) schedule() {
 	r := rand.New(rand.NewPCG(c.Seed, 0))
 	for a := range accounts {
 		e := c.rate(a)
@@ -111,33 +113,33 @@
 			if t >= c.For {
 				break
 			}
-			v := &caller{account: a, arrives: t, hold: time.Duration(r.ExpFloat64() * float64(hold))}
-			if r.Float64() < leaving {
-				v.leaves = t + time.Duration(r.ExpFloat64()*float64(leaveAfter))
-				c.time.At(v.leaves, func() { c.depart(v) })
+			v := &caller{account: a, arrivesAt: t, hold: time.Duration(r.ExpFloat64() * float64(meanHold))}
+			if r.Float64() < leavingFraction {
+				v.leavesAt = t + time.Duration(r.ExpFloat64()*float64(meanLeaveAfter))
+				c.timeline.At(v.leavesAt, func() { c.depart(v) })
 			}
 			c.callers = append(c.callers, v)
-			c.time.At(t, func() { c.arrive(v) })
+			c.timeline.At(t, func() { c.arrive(v) })
 		}
 	}
 }
 
-// rate returns an account's requests a second; the first account is the large
+// rate returns an account's requests per second; the first account is the large
 // one.
 func (c *Contention) rate(account int) float64 {
-	a := load * slots / hold.Seconds()
+	a := baseLoad * slots / meanHold.Seconds()
 	if account == 0 {
-		return excess * large * a
+		return largeExcess * largeLoadFraction * a
 	}
-	return (1 - large) * a / (accounts - 1)
+	return (1 - largeLoadFraction) * a / (accounts - 1)
 }
 
 func (c *Contention) arrive(v *caller) {
-	c.open = append(c.open, v)
-	c.line.enter(v)
-	c.time.At(v.arrives+maxWait, func() {
+	c.undecided = append(c.undecided, v)
+	c.queue.enter(v)
+	c.timeline.At(v.arrivesAt+maxWait, func() {
 		if v.state == waiting {
-			c.line.leave(v)
+			c.queue.leave(v)
 			c.refuse(v)
 		}
 	})
@@ -146,17 +148,17 @@
 func (c *Contention) depart(v *caller) {
 	v.gone = true
 	if v.state == waiting {
-		c.line.leave(v)
+		c.queue.leave(v)
 		v.state = left
 	}
 }
 
-// settle carries out the decisions that the queue made in the last event.
-func (c *Contention) settle() {
+// applyDecisions carries out the decisions that the queue made in the last event.
+func (c *Contention) applyDecisions() {
 	for a := true; a; {
 		a = false
-		k := c.open[:0]
-		for _, v := range c.open {
+		k := c.undecided[:0]
+		for _, v := range c.undecided {
 			if v.state == waiting && v.decided != nil {
 				a = c.decide(v) || a
 			}
@@ -164,7 +166,7 @@
 				k = append(k, v)
 			}
 		}
-		c.open = k
+		c.undecided = k
 	}
 }
 
@@ -177,9 +179,9 @@
 		c.refuse(v)
 	default:
 		v.state = running
-		v.granted = c.time.Now()
-		c.time.At(c.time.Now()+v.hold, func() {
-			v.ended = c.time.Now()
+		v.grantedAt = c.timeline.Now()
+		c.timeline.At(c.timeline.Now()+v.hold, func() {
+			v.endedAt = c.timeline.Now()
 			v.state = answered
 			if v.gone {
 				v.state = wasted
@@ -192,25 +194,25 @@
 
 func (c *Contention) refuse(v *caller) {
 	v.state = refused
-	v.refused = c.time.Now()
+	v.refusedAt = c.timeline.Now()
 }
 
 func (c *Contention) acquire() (slot.Slot, bool) {
-	if c.used >= slots {
+	if c.busySlots >= slots {
 		return slot.Slot{}, false
 	}
-	c.used++
+	c.busySlots++
 	return slot.Slot{Release: func(result.Result) {
-		c.used--
-		c.line.kick()
+		c.busySlots--
+		c.queue.kick()
 	}}, true
 }
 
-func (c *Contention) fair() line {
-	q := &queue.Queue{Clock: c.time.Clock, Acquire: c.acquire, Limit: 10_000, Patience: c.Patience}
-	return line{
+func (c *Contention) fairQueue() queueFuncs {
+	q := &queue.Queue{Clock: c.timeline.Clock, Acquire: c.acquire, Limit: 10_000, Patience: c.Patience}
+	return queueFuncs{
 		enter: func(v *caller) {
-			d, f := q.Enter(background, name(v.account), maxWait)
+			d, f := q.Enter(background, accountName(v.account), maxWait)
 			v.leave = f
 			v.decided = func() (slot.Slot, string, bool) {
 				s, o, ok := d()
--- a/contention/contention_test.go
+++ b/contention/contention_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// One large account sends five times its rate and most callers leave. The
-// smaller accounts' callers must not notice: each of these accounts gets at least
-// 95% of its max-min due, and the baseline shows that this is not given.
+// One large account sends five times its rate and most callers leave. Each
+// smaller account must still get at least 95% of its max-min fair share. The
+// baseline queue does not achieve this.
 func TestSmallAccounts(t *testing.T) {
 	for _, v := range []struct {
 		fair bool
@@ -18,18 +18,19 @@
 	}{{true, true}, {false, false}} {
 		c := &Contention{Seed: 1, For: 3 * time.Second, Fair: v.fair, Patience: 100 * time.Millisecond}
 		c.Run()
-		d := make([]tally, accounts)
+		d := make([]accountStats, accounts)
 		for _, x := range c.callers {
 			d[x.account].add(x)
 		}
-		s := due(d, slots*c.For.Seconds()/hold.Seconds())
+		s := maxMinShares(d, slots*c.For.Seconds()/meanHold.Seconds())
 		for a := 1; a < accounts; a++ {
 			must.EqOp(t, v.good, float64(d[a].answered) >= 0.95*s[a], must.Sprint(a, d[a].answered, s[a]))
 		}
 	}
 }
 
-// The same seed gives the same report, or no figure of it could be compared.
+// The same seed must give the same report, otherwise reports cannot be
+// compared.
 func TestRepeatable(t *testing.T) {
 	run := func() string {
 		c := &Contention{Seed: 7, For: time.Second, Fair: true, Patience: 100 * time.Millisecond}
--- a/contention/first.go
+++ b/contention/fifoqueue.go
@@ -9,9 +9,9 @@
 
 var background = context.Background()
 
-// first is the baseline: one line in order of arrival, bounded by waiting time
-// only. A caller that leaves is taken out.
-func (c *Contention) first() line {
+// fifoQueue is the baseline: a single queue in order of arrival, limited only
+// by the waiting time. A caller that leaves is removed.
+func (c *Contention) fifoQueue() queueFuncs {
 	var q []*caller
 	k := func() {
 		for len(q) > 0 {
@@ -24,7 +24,7 @@
 			v.decided = func() (slot.Slot, string, bool) { return s, "", true }
 		}
 	}
-	return line{
+	return queueFuncs{
 		enter: func(v *caller) {
 			q = append(q, v)
 			k()
@@ -42,6 +42,6 @@
 	}
 }
 
-func name(account int) string {
+func accountName(account int) string {
 	return strconv.Itoa(account)
 }
--- a/contention/report.go
+++ b/contention/report.go
@@ -6,54 +6,54 @@
 	"time"
 )
 
-// tally is what happened to the callers of one account.
-type tally struct {
+// accountStats are the results of the callers of one account.
+type accountStats struct {
 	offered  int
 	answered int
 	refused  int
 	left     int
 	wasted   int
-	// possible counts the callers that an empty system would have answered.
-	possible int
-	waits    []time.Duration
-	refusals []time.Duration
+	// answerable counts the callers that an empty system would have answered.
+	answerable int
+	waits      []time.Duration
+	refusals   []time.Duration
 }
 
 func (c *Contention) report() []string {
-	t := make([]tally, accounts)
+	t := make([]accountStats, accounts)
 	for _, v := range c.callers {
 		t[v.account].add(v)
 	}
-	d := due(t, slots*c.For.Seconds()/hold.Seconds())
+	d := maxMinShares(t, slots*c.For.Seconds()/meanHold.Seconds())
 	r := []string{"account offered answered of-due refused left wasted wait-p50 wait-p99 refusal-p50 refusal-p99"}
 	w := 1.0
-	s := tally{}
+	s := accountStats{}
 	for i, v := range t {
 		f := float64(v.answered) / d[i]
 		w = min(w, f)
-		n := "small-" + name(i)
+		n := "small-" + accountName(i)
 		if i == 0 {
 			n = "large"
 		}
-		r = append(r, v.line(n, f))
+		r = append(r, v.format(n, f))
 		s.merge(v)
 	}
-	r = append(r, s.line("all", float64(s.answered)/total(d)))
+	r = append(r, s.format("all", float64(s.answered)/sum(d)))
 	return append(r, fmt.Sprintf("worst-served share of its max-min due: %.3f", w))
 }
 
-func (t *tally) add(v *caller) {
+func (t *accountStats) add(v *caller) {
 	t.offered++
-	if v.leaves == 0 || v.leaves > v.arrives+v.hold {
-		t.possible++
+	if v.leavesAt == 0 || v.leavesAt > v.arrivesAt+v.hold {
+		t.answerable++
 	}
 	switch v.state {
 	case answered:
 		t.answered++
-		t.waits = append(t.waits, v.granted-v.arrives)
+		t.waits = append(t.waits, v.grantedAt-v.arrivesAt)
 	case refused:
 		t.refused++
-		t.refusals = append(t.refusals, v.refused-v.arrives)
+		t.refusals = append(t.refusals, v.refusedAt-v.arrivesAt)
 	case left:
 		t.left++
 	case wasted:
@@ -61,7 +61,7 @@
 	}
 }
 
-func (t *tally) merge(v tally) {
+func (t *accountStats) merge(v accountStats) {
 	t.offered += v.offered
 	t.answered += v.answered
 	t.refused += v.refused
@@ -71,28 +71,28 @@
 	t.refusals = append(t.refusals, v.refusals...)
 }
 
-func (t *tally) line(name string, f float64) string {
+func (t *accountStats) format(name string, f float64) string {
 	return fmt.Sprintf("%s %d %d %.3f %d %d %d %s %s %s %s", name, t.offered, t.answered, f, t.refused, t.left, t.wasted,
 		quantile(t.waits, 0.5), quantile(t.waits, 0.99), quantile(t.refusals, 0.5), quantile(t.refusals, 0.99))
 }
 
-// due divides the answers that the slots can give max-min fairly between the
-// accounts, none of which can use more than is possible.
-func due(t []tally, capacity float64) []float64 {
+// maxMinShares divides the answers that the slots can give max-min fairly
+// between the accounts, none of which gets more than its answerable callers.
+func maxMinShares(t []accountStats, capacity float64) []float64 {
 	r := make([]float64, len(t))
 	var open []int
 	for i := range t {
 		open = append(open, i)
 	}
-	slices.SortFunc(open, func(i, j int) int { return t[i].possible - t[j].possible })
+	slices.SortFunc(open, func(i, j int) int { return t[i].answerable - t[j].answerable })
 	for n, i := range open {
-		r[i] = min(float64(t[i].possible), capacity/float64(len(open)-n))
+		r[i] = min(float64(t[i].answerable), capacity/float64(len(open)-n))
 		capacity -= r[i]
 	}
 	return r
 }
 
-func total(s []float64) float64 {
+func sum(s []float64) float64 {
 	r := 0.0
 	for _, v := range s {
 		r += v
