--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -1,4 +1,5 @@
-// Package timeline runs events in the order of simulated time.
+// Package timeline runs the events of a simulation in the order of simulated
+// time.
 package timeline
 
 import (
@@ -8,14 +9,14 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Timeline is a simulation's clock and what is to happen.
+// Timeline is the clock and the event queue of a simulation.
 type Timeline struct {
-	// Clock is moved to the time of each event.
+	// Clock is advanced to the time of each event.
 	Clock *clockwork.FakeClock
 
-	start  time.Time
-	order  int
-	events events
+	start        time.Time
+	lastSequence int
+	events       events
 }
 
 // New returns an empty timeline.
@@ -24,54 +25,55 @@
 	return &Timeline{Clock: c, start: c.Now()}
 }
 
-// Now returns the time since the start.
+// Now returns the simulated time since the start.
 func (t *Timeline) Now() time.Duration {
 	return t.Clock.Since(t.start)
 }
 
-// At has f called at a time. What is planned first for a time happens first.
+// At schedules a call of f. Events with the same time run in the order in which
+// they were scheduled.
 func (t *Timeline) At(at time.Duration, f func()) {
-	t.order++
-	heap.Push(&t.events, event{at: at, order: t.order, do: f})
+	t.lastSequence++
+	heap.Push(&t.events, event{at: at, sequence: t.lastSequence, run: f})
 }
 
-// Run lets everything happen, and calls after behind each event.
+// Run runs all events and calls after following each of them.
 func (t *Timeline) Run(after func()) {
 	for len(t.events) > 0 {
 		e := heap.Pop(&t.events).(event)
 		t.Clock.Advance(e.at - t.Now())
-		e.do()
+		e.run()
 		after()
 	}
 }
 
 type event struct {
-	at    time.Duration
-	order int
-	do    func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
-// events is a heap by time.
+// events is a heap ordered by time.
 type events []event
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (s events) Len() int { return len(s) }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface.
 func (s events) Less(i, j int) bool {
 	if s[i].at != s[j].at {
 		return s[i].at < s[j].at
 	}
-	return s[i].order < s[j].order
+	return s[i].sequence < s[j].sequence
 }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (s events) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (s *events) Push(x any) { *s = append(*s, x.(event)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (s *events) Pop() any {
 	o := *s
 	e := o[len(o)-1]
