--- a/lineplot/lineplot.go
+++ b/lineplot/lineplot.go
@@ -1,4 +1,4 @@
-// Package lineplot draws plots of lines as SVG pictures.
+// Package lineplot draws line plots as SVG images.
 package lineplot
 
 import (
@@ -20,7 +20,7 @@
 	height = 8 * vg.Centimeter
 )
 
-// Add adds a line for each name, with a legend.
+// Add adds a line for each name to the plot, with a legend and a grid.
 func Add(p *plot.Plot, lines map[string]plotter.XYs) error {
 	for i, n := range slices.Sorted(maps.Keys(lines)) {
 		l, s, err := plotter.NewLinePoints(lines[n])
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// Draw returns a plot as an SVG element without the XML heading, which has no
-// place inside HTML. Its texts are escaped.
+// Draw returns the plot as an SVG element without the XML declaration, which is
+// not allowed inside HTML. Its texts are escaped.
 func Draw(p *plot.Plot) ([]byte, error) {
 	c := vgsvg.New(width, height)
 	p.Draw(draw.New(c))
@@ -48,7 +48,7 @@
 	}
 	i := bytes.Index(b.Bytes(), []byte("<svg"))
 	if i < 0 {
-		return nil, errors.New("no picture was drawn")
+		return nil, errors.New("the drawn plot has no <svg> element")
 	}
 	return b.Bytes()[i:], nil
 }
