--- a/accepted/accepted.go
+++ b/accepted/accepted.go
@@ -1,5 +1,5 @@
-// Package accepted describes the table rows that name the accepted version of
-// a content: the configuration, the plan, the client blocks.
+// Package accepted describes the table rows that name the accepted version of a
+// versioned content: the configuration, the plan, the client blocks.
 package accepted
 
 import (
@@ -9,32 +9,32 @@
 
 // Keys of the rows.
 const (
-	// RowKey is the row of the configuration.
+	// RowKey is the key of the configuration's row.
 	RowKey = "config"
-	// PlanKey is the row of the plan.
+	// PlanKey is the key of the plan's row.
 	PlanKey = "plan"
-	// BlocksKey is the row of the client block table.
+	// BlocksKey is the key of the client block table's row.
 	BlocksKey = "blocks"
 )
 
-// RecentVersions is how many earlier hashes a row keeps.
+// RecentVersions is the number of earlier hashes in a row.
 const RecentVersions = 32
 
-// Accepted is the content of a row.
+// Accepted is the value of a row.
 type Accepted struct {
 	// Version is the accepted version.
 	Version uint64
-	// Hash is the SHA-256 of the content, which the object store holds under
+	// Hash is the SHA-256 of the content, which is stored as the object
 	// ObjectName.
 	Hash string
-	// Recent are the hashes of the versions before, newest first. They let
-	// the author of a change whose answer was lost find it although others
-	// have already followed.
+	// Recent holds the hashes of the previous versions, newest first. With them
+	// the author of a change whose answer was lost finds the change even if
+	// other versions have followed.
 	Recent []string `json:",omitzero"`
 }
 
-// HashOf returns the hash that was accepted under a version, if the row still
-// knows it.
+// HashOf returns the hash that was accepted as the given version, if the row
+// still contains it.
 func (a Accepted) HashOf(version uint64) (string, bool) {
 	if version == a.Version {
 		return a.Hash, true
@@ -54,7 +54,7 @@
 	return n
 }
 
-// ObjectName returns the name of the object that holds a content of the row
+// ObjectName returns the name of the object that stores a content of the row
 // with the given key.
 func ObjectName(key, hash string) string {
 	return key + "/" + hash
@@ -66,11 +66,11 @@
 	return hex.EncodeToString(h[:])
 }
 
-// shortLength is the length of an abbreviated hash: 64 bits, of which no two
-// contents of one version have the same by accident.
-const shortLength = 16
+// shortHashLength is the length of an abbreviated hash. At 64 bits, two
+// contents of the same version do not collide by accident.
+const shortHashLength = 16
 
 // Short abbreviates a hash for messages that are sent often.
 func Short(hash string) string {
-	return hash[:min(len(hash), shortLength)]
+	return hash[:min(len(hash), shortHashLength)]
 }
--- a/change/change.go
+++ b/change/change.go
@@ -1,4 +1,4 @@
-// Package change makes a new version of the configuration the accepted one.
+// Package change commits new versions of the configuration.
 package change
 
 import (
@@ -16,36 +16,36 @@
 	"celeryreach.example/celeryreach/store"
 )
 
-// Change writes configurations to the platform.
+// Change commits configurations to the platform.
 type Change struct {
-	// Platform holds the accepted configuration.
+	// Platform stores the accepted configuration.
 	Platform store.Store
-	// Clock paces the reading back after a lost answer; nil means the real one.
+	// Clock paces the retries after a lost answer; nil means the real clock.
 	Clock clockwork.Clock
-	// Accepted is told of a version that was just accepted, so that it is put
-	// in force and relayed at once; nil tells nobody.
+	// Accepted is called with a version that was just accepted, so that it is
+	// put in force and relayed at once; nil means no call.
 	Accepted func(a accepted.Accepted, content []byte)
 }
 
-// Commit accepts n as the successor of version from. It reports false, and
-// changes nothing, when another version was accepted in between. After an
-// error the outcome is not known to have failed.
+// Commit accepts n as the successor of version from. If another version was
+// accepted in between, it returns false and changes nothing. After an error the
+// change may still take effect.
 func (c *Change) Commit(ctx context.Context, from uint64, n config.Config) (accepted.Accepted, bool, error) {
 	n.Version = from + 1
 	b, err := codec.Marshal(n)
 	if err != nil {
 		return accepted.Accepted{}, false, errors.Wrap(err, "configuration")
 	}
-	a, ok, err := c.publish().Commit(ctx, from, b)
+	a, ok, err := c.newPublish().Commit(ctx, from, b)
 	if err == nil && ok && c.Accepted != nil {
 		c.Accepted(a, b)
 	}
 	return a, ok, err
 }
 
-// Explain names both changes after a conflict: what was accepted since version
-// from, and what n would have changed. The lists stay empty when the platform
-// no longer gives the versions.
+// Explain lists both changes after a conflict: the differences that were
+// accepted since version from, and those that n would have made. The lists are
+// empty if the platform no longer returns the versions.
 func (c *Change) Explain(ctx context.Context, from uint64, n config.Config, a accepted.Accepted) conflict.Conflict {
 	r := conflict.Conflict{From: from, Accepted: a.Version}
 	o, err := c.load(ctx, from, a)
@@ -69,7 +69,7 @@
 	}
 	h, ok := a.HashOf(version)
 	if !ok {
-		return nil, errors.Errorf("version %d is too old", version)
+		return nil, errors.Errorf("hash of configuration version %d is no longer stored", version)
 	}
 	b, err := c.Platform.GetObject(ctx, accepted.ObjectName(accepted.RowKey, h))
 	if err != nil {
@@ -79,7 +79,7 @@
 	return r, errors.Wrapf(codec.Unmarshal(b, r), "configuration %d", version)
 }
 
-func (c *Change) publish() *publish.Publish {
+func (c *Change) newPublish() *publish.Publish {
 	k := c.Clock
 	if k == nil {
 		k = clockwork.NewRealClock()
--- a/conflict/conflict.go
+++ b/conflict/conflict.go
@@ -1,18 +1,18 @@
-// Package conflict describes two changes of one version, of which the second
-// was refused.
+// Package conflict describes two changes of the same configuration version, of
+// which the later one was refused.
 package conflict
 
 import "celeryreach.example/celeryreach/difference"
 
-// Conflict is the answer to an operator whose change came second. Nothing of
-// it was accepted.
+// Conflict is the answer to an operator whose change conflicts with a newer
+// version. No part of the change was accepted.
 type Conflict struct {
-	// From is the version that both changes were made from.
+	// From is the version that both changes are based on.
 	From uint64
-	// Accepted is the version in force instead.
+	// Accepted is the version that was accepted instead.
 	Accepted uint64
-	// Theirs are the fields that were changed since From.
+	// Theirs lists the differences accepted since From.
 	Theirs []difference.Difference
-	// Yours are the fields that the refused change would have changed.
+	// Yours lists the differences that the refused change would have made.
 	Yours []difference.Difference
 }
--- a/difference/difference.go
+++ b/difference/difference.go
@@ -1,4 +1,5 @@
-// Package difference compares two versions of the configuration for people.
+// Package difference compares two versions of the configuration in a form that
+// operators can read.
 package difference
 
 import (
@@ -11,17 +12,17 @@
 	"celeryreach.example/celeryreach/config"
 )
 
-// Difference is one field or entry that differs.
+// Difference is one field or list entry that differs.
 type Difference struct {
-	// Path names the field: Accounts[unity-camps].Rate for example.
+	// Path names the field, for example Accounts[unity-camps].Rate.
 	Path string
-	// Old is the former value, empty when the entry is new.
+	// Old is the previous value, empty if the entry was added.
 	Old string `json:",omitzero"`
-	// New is the later value, empty when the entry is gone.
+	// New is the current value, empty if the entry was removed.
 	New string `json:",omitzero"`
 }
 
-// String returns the difference on one line.
+// String formats the difference on one line.
 func (d Difference) String() string {
 	switch {
 	case d.Old == "":
@@ -33,8 +34,8 @@
 	}
 }
 
-// Between returns what differs from a to b, ordered by path, but for the
-// version. Entries of lists are matched by name, so that a moved entry is no
+// Between returns the differences from a to b ordered by path, except for the
+// version. List entries are matched by name, so a reordered list has no
 // difference.
 func Between(a, b *config.Config) []Difference {
 	x, y := *a, *b
@@ -44,8 +45,8 @@
 	return r
 }
 
-// Overlap reports whether two sets of differences touch the same entry or
-// field, so that applying one after the other would undo something.
+// Overlap reports whether two sets of differences affect the same entry or
+// field, so that applying one after the other would revert a part of the first.
 func Overlap(a, b []Difference) bool {
 	for _, x := range a {
 		for _, y := range b {
@@ -63,52 +64,54 @@
 	}
 	switch {
 	case a.Kind() == reflect.Slice && a.Type().Elem().Kind() == reflect.Struct:
-		return entries(r, path, a, b)
-	case a.Kind() == reflect.Struct && exported(a.Type()):
+		return compareEntries(r, path, a, b)
+	case a.Kind() == reflect.Struct && allFieldsExported(a.Type()):
 		for i := range a.NumField() {
-			r = compare(r, join(path, a.Type().Field(i).Name), a.Field(i), b.Field(i))
+			r = compare(r, joinPath(path, a.Type().Field(i).Name), a.Field(i), b.Field(i))
 		}
 		return r
 	}
-	return append(r, Difference{Path: path, Old: text(a), New: text(b)})
+	return append(r, Difference{Path: path, Old: formatValue(a), New: formatValue(b)})
 }
 
-func entries(r []Difference, path string, a, b reflect.Value) []Difference {
-	x, y := index(a), index(b)
+func compareEntries(r []Difference, path string, a, b reflect.Value) []Difference {
+	x, y := indexEntries(a), indexEntries(b)
 	for k, v := range x {
 		p := path + "[" + k + "]"
 		if w, ok := y[k]; ok {
 			r = compare(r, p, v, w)
 		} else {
-			r = append(r, Difference{Path: p, Old: text(v)})
+			r = append(r, Difference{Path: p, Old: formatValue(v)})
 		}
 	}
 	for k, w := range y {
 		if _, ok := x[k]; !ok {
-			r = append(r, Difference{Path: path + "[" + k + "]", New: text(w)})
+			r = append(r, Difference{Path: path + "[" + k + "]", New: formatValue(w)})
 		}
 	}
 	return r
 }
 
-// index keys the entries of a list by what names them.
-func index(v reflect.Value) map[string]reflect.Value {
+// indexEntries maps the entries of a list by their identifying fields.
+func indexEntries(v reflect.Value) map[string]reflect.Value {
 	r := make(map[string]reflect.Value, v.Len())
 	for i := range v.Len() {
 		e := v.Index(i)
-		k := key(e)
+		k := entryKey(e)
 		for n := 2; ; n++ {
 			if _, ok := r[k]; !ok {
 				break
 			}
-			k = fmt.Sprintf("%s#%d", key(e), n)
+			k = fmt.Sprintf("%s#%d", entryKey(e), n)
 		}
 		r[k] = e
 	}
 	return r
 }
 
-func key(e reflect.Value) string {
+// entryKey returns the text that identifies a list entry, empty if it has no
+// identifying field.
+func entryKey(e reflect.Value) string {
 	for _, n := range []string{"Name", "ID", "Prefix", "From", "Service"} {
 		f := e.FieldByName(n)
 		if !f.IsValid() {
@@ -122,9 +125,10 @@
 	return ""
 }
 
-// exported reports whether every field can be read: a netip.Prefix for one is
-// compared as a whole.
-func exported(t reflect.Type) bool {
+// allFieldsExported reports whether every field can be read by reflection. A
+// struct with unexported fields, such as netip.Prefix, is compared as one
+// value.
+func allFieldsExported(t reflect.Type) bool {
 	for i := range t.NumField() {
 		if !t.Field(i).IsExported() {
 			return false
@@ -133,7 +137,7 @@
 	return true
 }
 
-func text(v reflect.Value) string {
+func formatValue(v reflect.Value) string {
 	b, err := codec.Marshal(v.Interface())
 	if err != nil {
 		return fmt.Sprint(v.Interface())
@@ -141,7 +145,7 @@
 	return string(b)
 }
 
-func join(path, field string) string {
+func joinPath(path, field string) string {
 	if path == "" {
 		return field
 	}
--- a/expiry/expiry.go
+++ b/expiry/expiry.go
@@ -1,4 +1,5 @@
-// Package expiry removes the records of requests that nobody repeats any more.
+// Package expiry removes the idempotency records whose retention period has
+// ended.
 package expiry
 
 import (
@@ -17,41 +18,42 @@
 
 const (
 	prefix = "idempotency-expiry/"
-	// bucket is the part of time whose records are listed together: the whole
-	// table is too large to be scanned.
-	bucket = time.Minute
-	layout = "200601021504"
-	// backlog is how far back a new sweeper looks for what a lost one left.
-	backlog = 6 * time.Hour
-	// scanPause keeps a backlog from using up the store's reads.
-	scanPause   = 50 * time.Millisecond
-	deleteLimit = 64
+	// bucketSpan is the time range of the records that are listed under one key
+	// prefix. The full table is too large to be scanned.
+	bucketSpan = time.Minute
+	layout     = "200601021504"
+	// maxBacklog is how far back a new sweeper looks for records that a failed
+	// one left.
+	maxBacklog = 6 * time.Hour
+	// scanPause limits the read rate on the store while a backlog is swept.
+	scanPause        = 50 * time.Millisecond
+	deleteBatchLimit = 64
 )
 
-// Expiry removes records after Retention. Until then a repetition gets the
-// recorded answer; after it the id is new, so callers must not repeat a request
-// for longer. Keeping records for ever would fill the platform's table: 300
-// enrolments a second are 26 million rows a day.
+// Expiry removes records after Retention. Until then a repeated request gets
+// the recorded answer. Later its id counts as new, so callers must not repeat a
+// request after Retention. Keeping records without limit would fill the
+// platform's table: 300 enrolments per second are 26 million rows a day.
 type Expiry struct {
-	// Clock tells the wall-clock time.
+	// Clock provides the wall-clock time.
 	Clock clockwork.Clock
-	// Log receives one line for each sweep that removed something or failed.
+	// Log receives one line for each sweep that removed records or failed.
 	Log *log.Logger
-	// Platform holds the records.
+	// Platform stores the records.
 	Platform store.Store
 	// Retention is how long a record is kept.
 	Retention time.Duration
-	// Sweeps reports whether this host is the one that sweeps. Two sweepers
-	// cost reads, nothing else.
+	// Sweeps reports whether this host is the one that sweeps. Two sweepers at
+	// a time only cost additional reads.
 	Sweeps func() bool
 
-	next time.Time
+	nextBucket time.Time
 }
 
-// Index returns the row that lists a record under the time of its start. It is
-// written with the record, by the same commit.
+// Index returns the index row that lists a record by its start time. The index
+// row is written in the same commit as the record.
 func Index(key string, started time.Time) []row.Row {
-	return []row.Row{{Key: list(started) + key, Value: []byte(key)}}
+	return []row.Row{{Key: bucketPrefix(started) + key, Value: []byte(key)}}
 }
 
 // Run sweeps until ctx ends.
@@ -62,32 +64,32 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-e.Clock.After(bucket):
+		case <-e.Clock.After(bucketSpan):
 		}
 	}
 	return nil
 }
 
-// sweep goes through the buckets that are due.
+// sweep removes the records of the buckets that are due.
 func (e *Expiry) sweep(ctx context.Context) {
-	d := e.Clock.Now().UTC().Add(-e.Retention - bucket).Truncate(bucket)
-	if b := d.Add(-backlog); e.next.Before(b) {
-		e.next = b
+	d := e.Clock.Now().UTC().Add(-e.Retention - bucketSpan).Truncate(bucketSpan)
+	if b := d.Add(-maxBacklog); e.nextBucket.Before(b) {
+		e.nextBucket = b
 	}
 	n := 0
-	for ; !e.next.After(d) && ctx.Err() == nil; e.next = e.next.Add(bucket) {
-		r, err := e.bucket(ctx, e.next)
+	for ; !e.nextBucket.After(d) && ctx.Err() == nil; e.nextBucket = e.nextBucket.Add(bucketSpan) {
+		r, err := e.sweepBucket(ctx, e.nextBucket)
 		if err != nil {
-			e.Log.Warn("records not swept", "Bucket", e.next, "Error", err)
+			e.Log.Warn("failed to remove expired records", "Bucket", e.nextBucket, "Error", err)
 			return
 		}
 		n += r
-		if e.next.Before(d) {
+		if e.nextBucket.Before(d) {
 			e.pause(ctx)
 		}
 	}
 	if n > 0 {
-		e.Log.Info("records swept", "Count", n)
+		e.Log.Info("expired records removed", "Count", n)
 	}
 }
 
@@ -98,15 +100,16 @@
 	}
 }
 
-// bucket removes the records of one bucket and returns how many there were.
-func (e *Expiry) bucket(ctx context.Context, t time.Time) (int, error) {
-	l, err := e.Platform.Scan(ctx, list(t))
+// sweepBucket removes the expired records of one bucket and returns their
+// number.
+func (e *Expiry) sweepBucket(ctx context.Context, t time.Time) (int, error) {
+	l, err := e.Platform.Scan(ctx, bucketPrefix(t))
 	if err != nil {
 		return 0, err
 	}
 	n := 0
 	for len(l) > 0 {
-		p := l[:min(len(l), deleteLimit)]
+		p := l[:min(len(l), deleteBatchLimit)]
 		l = l[len(p):]
 		r, err := e.remove(ctx, p)
 		if err != nil {
@@ -117,10 +120,10 @@
 	return n, nil
 }
 
-// remove deletes records with their index rows. The delete is conditional on
-// what was read: a void record may have been taken over by a new attempt
-// meanwhile, and deleting that one would let the request run twice. A commit
-// that fails for this is made again by a later sweep.
+// remove deletes expired records with their index rows. The delete is
+// conditional on the versions that were read: a new attempt may have taken over
+// a void record since then, and deleting its record would let the request run
+// twice. A batch whose condition fails is left to a later sweep.
 func (e *Expiry) remove(ctx context.Context, index []row.Row) (int, error) {
 	var c commit.Commit
 	n := 0
@@ -131,7 +134,7 @@
 			return 0, err
 		}
 		c.Delete = append(c.Delete, x.Key)
-		if o.Version == 0 || !e.old(o) {
+		if o.Version == 0 || !e.expired(o) {
 			continue
 		}
 		c.Expect = append(c.Expect, row.Row{Key: k, Version: o.Version})
@@ -145,9 +148,9 @@
 	return n, nil
 }
 
-// old reports whether a record is past its time. A newer attempt has an index
-// row of its own.
-func (e *Expiry) old(o row.Row) bool {
+// expired reports whether the retention period of a record has ended. A newer
+// attempt under the same key has an index row of its own.
+func (e *Expiry) expired(o row.Row) bool {
 	var v record.Record
 	if err := codec.Unmarshal(o.Value, &v); err != nil {
 		return false
@@ -155,6 +158,7 @@
 	return e.Clock.Since(v.Started) >= e.Retention
 }
 
-func list(t time.Time) string {
+// bucketPrefix returns the key prefix of the index rows of a bucket.
+func bucketPrefix(t time.Time) string {
 	return prefix + t.UTC().Format(layout) + "/"
 }
--- a/expiry/expiry_test.go
+++ b/expiry/expiry_test.go
@@ -24,10 +24,10 @@
 	s.Commit(commit.Commit{Put: append(Index(key, at), row.Row{Key: key, Value: b})})
 }
 
-// A parent repeats a deposit a minute before the record's time is over and gets
-// the recorded answer; after a day the table holds nothing of it. An id that
-// was void and was taken over later keeps its newer record, whose removal would
-// let the deposit run twice.
+// TestRecordsExpire checks that a record is kept until the end of its retention
+// period and removed after it. An id whose void record was taken over by a
+// later attempt keeps the newer record, since removing it would let the request
+// run twice.
 func TestRecordsExpire(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	s := new(table.Table)
@@ -44,10 +44,10 @@
 	c.Advance(time.Hour)
 	put(t, s, "idempotency/camp/taken-over", c.Now())
 
-	c.Advance(23*time.Hour - bucket)
+	c.Advance(23*time.Hour - bucketSpan)
 	sweep(t, c, e)
 	must.SliceLen(t, 2, s.Scan("idempotency/"))
-	c.Advance(4 * bucket)
+	c.Advance(4 * bucketSpan)
 	sweep(t, c, e)
 	must.Eq(t, 0, s.Read("idempotency/camp/old").Version)
 	must.NotEq(t, 0, s.Read("idempotency/camp/taken-over").Version)
@@ -57,7 +57,7 @@
 	must.SliceEmpty(t, s.Scan(""))
 }
 
-// sweep lets the pauses between the buckets pass.
+// sweep advances the clock through the pauses between the buckets.
 func sweep(t *testing.T, c *clockwork.FakeClock, e *Expiry) {
 	d := make(chan struct{})
 	go func() {
--- a/feedstandin/feedstandin.go
+++ b/feedstandin/feedstandin.go
@@ -1,6 +1,7 @@
-// Package feedstandin stands in for a table of the store and its feed of changes,
-// with silences that outlast themselves: a call that was open in one is never
-// answered. It is for tests that run in virtual time.
+// Package feedstandin simulates a table of the store and its change feed, with
+// periods in which calls get no answer. A call that was open during such a
+// period is never answered, even after the period has ended. It is for tests
+// that run in virtual time.
 package feedstandin
 
 import (
@@ -13,39 +14,39 @@
 	"celeryreach.example/celeryreach/row"
 )
 
-// Feedstandin is the table.
+// Feedstandin is a simulated table with a change feed.
 type Feedstandin struct {
 	clock clockwork.Clock
 
-	mu      sync.Mutex
-	rows    []row.Row // every change, in order
-	version uint64
-	changed chan struct{}
-	mute    map[string]bool // callers whose calls are lost now
-	epoch   map[string]int  // counts their silences
-	slow    time.Duration   // how long each answer takes
+	mu          sync.Mutex
+	changes     []row.Row // all changes, in order of version
+	version     uint64
+	changed     chan struct{}
+	muted       map[string]bool // callers whose calls get no answer
+	muteEpochs  map[string]int  // number of Mute calls by caller
+	answerDelay time.Duration   // delay of each answer
 }
 
 // New returns an empty table.
 func New(c clockwork.Clock) *Feedstandin {
-	return &Feedstandin{clock: c, changed: make(chan struct{}), mute: make(map[string]bool), epoch: make(map[string]int)}
+	return &Feedstandin{clock: c, changed: make(chan struct{}), muted: make(map[string]bool), muteEpochs: make(map[string]int)}
 }
 
-// Mute begins or ends a silence for callers.
+// Mute starts or ends a period in which calls of the callers get no answer.
 func (s *Feedstandin) Mute(mute bool, callers ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range callers {
-		s.mute[c] = mute
-		s.epoch[c]++
+		s.muted[c] = mute
+		s.muteEpochs[c]++
 	}
 }
 
-// Slow makes each answer take d.
+// Slow delays each answer by d.
 func (s *Feedstandin) Slow(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = d
+	s.answerDelay = d
 }
 
 // Put writes a row and returns the table's new version.
@@ -53,16 +54,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	s.rows = append(s.rows, row.Row{Key: key, Value: value, Version: s.version})
+	s.changes = append(s.changes, row.Row{Key: key, Value: value, Version: s.version})
 	close(s.changed)
 	s.changed = make(chan struct{})
 	return s.version
 }
 
-// Feed answers a call of the feed.
+// Feed answers a feed call: it returns the changes after a version and the
+// table's version, waiting up to wait for a change.
 func (s *Feedstandin) Feed(ctx context.Context, caller string, after uint64, wait time.Duration) ([]row.Row, uint64, error) {
 	s.mu.Lock()
-	e := s.epoch[caller]
+	e := s.muteEpochs[caller]
 	s.mu.Unlock()
 	t := s.clock.After(wait)
 	for o := false; ; {
@@ -86,7 +88,7 @@
 
 func (s *Feedstandin) delay(ctx context.Context) error {
 	s.mu.Lock()
-	d := s.slow
+	d := s.answerDelay
 	s.mu.Unlock()
 	select {
 	case <-ctx.Done():
@@ -96,15 +98,16 @@
 	}
 }
 
-// since returns the changes after a version, the table's version, a channel that the
-// next change closes, and whether a call begun in epoch can be answered.
+// since returns the changes after a version, the table's version, a channel
+// that is closed at the next change, and whether a call that started in epoch
+// can be answered.
 func (s *Feedstandin) since(caller string, epoch int, after uint64) (l []row.Row, v uint64, c <-chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, r := range s.rows {
+	for _, r := range s.changes {
 		if r.Version > after {
 			l = append(l, r)
 		}
 	}
-	return l, s.version, s.changed, !s.mute[caller] && s.epoch[caller] == epoch
+	return l, s.version, s.changed, !s.muted[caller] && s.muteEpochs[caller] == epoch
 }
--- a/group/group.go
+++ b/group/group.go
@@ -1,4 +1,4 @@
-// Package group writes many conditional rows with one commit.
+// Package group batches conditional row writes into one commit.
 package group
 
 import (
@@ -13,28 +13,30 @@
 	"celeryreach.example/celeryreach/row"
 )
 
-// Group joins the writes of a host that arrive close together. The platform
-// takes several hundred commits a second from all hosts together, however many
-// rows each has; a commit for each request would use that up at once.
+// Group batches the writes of a host that arrive close together. The platform
+// accepts a few hundred commits per second from all hosts in total, regardless
+// of the number of rows in each. One commit per request would exceed that.
 type Group struct {
 	// Clock paces the commits.
 	Clock clockwork.Clock
 	// Commit applies one transaction.
 	Commit func(ctx context.Context, c commit.Commit) (bool, error)
-	// Gap is the least time between the starts of two commits: a write after
-	// a quiet time leaves at once, and a host never makes more than 1/Gap
-	// commits a second.
+	// Gap is the minimum time between the starts of two commits. A write after
+	// an idle period is committed at once, and a host never makes more than
+	// 1/Gap commits per second.
 	Gap time.Duration
-	// Limit is the greatest number of rows in a commit.
+	// Limit is the maximum number of rows in a commit.
 	Limit int
 	// Timeout bounds each commit.
 	Timeout time.Duration
 
-	mu   sync.Mutex
-	next *batch
-	last time.Time
+	mu        sync.Mutex
+	openBatch *batch
+	lastStart time.Time
 }
 
+// batch is a commit that collects writes. Its result is valid once done is
+// closed.
 type batch struct {
 	commit commit.Commit
 	done   chan struct{}
@@ -42,10 +44,10 @@
 	err    error
 }
 
-// Write puts r if the row's version is still r.Version, and index rows with it
-// that nobody else writes. False says that some
-// row of the commit was not as expected, not necessarily r; an error says that
-// the outcome is not known. A context that ends does not take the write back.
+// Write puts r if the row's version is still r.Version, together with index
+// rows that have no other writer. It returns false if a row of the commit, not
+// necessarily r, had another version. After an error the outcome is unknown.
+// The end of ctx does not cancel the write.
 func (g *Group) Write(ctx context.Context, r row.Row, index ...row.Row) (bool, error) {
 	b := g.join(ctx, r, index)
 	select {
@@ -56,39 +58,41 @@
 	}
 }
 
+// join adds a write to the open batch, and starts a new batch if none is open.
 func (g *Group) join(ctx context.Context, r row.Row, index []row.Row) *batch {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	b := g.next
+	b := g.openBatch
 	if b == nil {
 		b = &batch{done: make(chan struct{})}
-		g.next = b
+		g.openBatch = b
 		n := g.Clock.Now()
-		t := g.last.Add(g.Gap)
+		t := g.lastStart.Add(g.Gap)
 		if t.Before(n) {
 			t = n
 		}
-		g.last = t
-		// The first member may leave; the others still need the commit.
+		g.lastStart = t
+		// The context of the first writer may end; the others still need the commit.
 		go g.run(context.WithoutCancel(ctx), b, t.Sub(n))
 	}
 	b.commit.Expect = append(b.commit.Expect, row.Row{Key: r.Key, Version: r.Version})
 	b.commit.Put = append(b.commit.Put, row.Row{Key: r.Key, Value: r.Value})
 	b.commit.Put = append(b.commit.Put, index...)
 	if len(b.commit.Put) >= g.Limit {
-		g.next = nil
+		g.openBatch = nil
 	}
 	return b
 }
 
+// run closes the batch to further writes after wait, and commits it.
 func (g *Group) run(ctx context.Context, b *batch, wait time.Duration) {
 	defer close(b.done)
 	if wait > 0 {
 		<-g.Clock.After(wait)
 	}
 	g.mu.Lock()
-	if g.next == b {
-		g.next = nil
+	if g.openBatch == b {
+		g.openBatch = nil
 	}
 	g.mu.Unlock()
 	x, f := deadline.With(ctx, g.Clock, g.Timeout)
--- a/group/group_test.go
+++ b/group/group_test.go
@@ -14,9 +14,9 @@
 	"celeryreach.example/celeryreach/row"
 )
 
-// Enrolment opens and a hundred directors send at once. The first request
-// leaves with a commit of its own; the others wait for the gap and share two,
-// since one is full, so that the platform is not asked a hundred times.
+// TestWritesShareCommits checks that a hundred simultaneous writes need three
+// commits. The first write is committed alone, and the others wait for the gap
+// and share two commits, because the first of these reaches the row limit.
 func TestWritesShareCommits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := make(chan int, 100)
--- a/history/history.go
+++ b/history/history.go
@@ -1,6 +1,6 @@
-// Package history remembers the last versions of the configuration that a host
-// had in force, so that an operator whose change came too late can be shown
-// what changed in between.
+// Package history keeps the last configuration versions that a host had in
+// force, so that an operator whose change conflicts with a newer version can be
+// shown the changes in between.
 package history
 
 import (
@@ -9,16 +9,16 @@
 	"celeryreach.example/celeryreach/config"
 )
 
-const limit = 32
+const maxVersions = 32
 
-// History holds a few versions in memory. A host that was replaced has none:
-// the operator is then shown the difference to the newest version only.
+// History holds the last versions in memory. A new process starts with none:
+// the operator is then shown only the difference from the newest version.
 type History struct {
 	mu       sync.Mutex
 	versions []*config.Config
 }
 
-// Add remembers c, unless it is the newest remembered version already.
+// Add stores c, unless c is not newer than the newest stored version.
 func (h *History) Add(c *config.Config) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -27,12 +27,12 @@
 		return
 	}
 	h.versions = append(h.versions, c)
-	if n+1 > limit {
+	if n+1 > maxVersions {
 		h.versions = h.versions[1:]
 	}
 }
 
-// Version returns a version, nil if it is not remembered.
+// Version returns the configuration with version v, or nil if it is not stored.
 func (h *History) Version(v uint64) *config.Config {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/idempotency/idempotency.go
+++ b/idempotency/idempotency.go
@@ -1,5 +1,5 @@
-// Package idempotency makes sure that a non-idempotent request with an id of
-// its caller's runs at most once.
+// Package idempotency runs a non-idempotent request that carries a
+// caller-chosen id at most once.
 package idempotency
 
 import (
@@ -22,46 +22,52 @@
 
 const (
 	prefix = "idempotency/"
-	// roundPause keeps a store that answers with errors from being asked in a
-	// tight loop.
-	roundPause = 10 * time.Millisecond
-	// downPause is how long requests are refused without asking a store that
-	// has just failed, so that a slow store does not hold up every caller for
-	// the whole Timeout.
-	downPause = 200 * time.Millisecond
+	// retryDelay limits the rate of requests to a store that answers with
+	// errors.
+	retryDelay = 10 * time.Millisecond
+	// storeBackoff is how long requests are refused without calling the store
+	// after it has failed, so that a slow store does not delay every caller by
+	// the full Timeout.
+	storeBackoff = 200 * time.Millisecond
 )
 
-// Idempotency keeps one row for each id in the platform's table. The row is
-// written before the request leaves; whoever finds a row that is not its own
-// never runs the request.
+// Idempotency keeps one row per id in the platform's table. The row is written
+// before the request is sent, and an attempt that finds the row of another
+// attempt never runs the request.
 type Idempotency struct {
-	// Clock stamps the records for expiry.
+	// Clock gives the start time of the records, which expiry uses.
 	Clock clockwork.Clock
-	// Platform holds the records.
+	// Platform stores the records.
 	Platform store.Store
-	// Group writes the rows that let requests run.
+	// Group batches the writes of the rows that permit requests to run.
 	Group *group.Group
 	// Host is the name of this host.
 	Host string
 	// Incarnation is the incarnation of this host.
 	Incarnation uint64
-	// Alive reports whether a process that owns a record still runs.
+	// Alive reports whether the process that owns a record is still running.
 	Alive func(host string, incarnation uint64) bool
-	// Timeout bounds the wait for the store before a request is refused.
+	// Timeout bounds the wait for the store. After it the request is refused.
 	Timeout time.Duration
-	// Index returns rows that Begin writes along, for expiry; nil means none.
+	// Index returns additional rows that Begin writes with the record, so that
+	// expiry can find it; nil means none.
 	Index func(key string, started time.Time) []row.Row
 
-	mu      sync.Mutex
-	active  map[string]*attempt
-	given   map[string]bool
+	mu sync.Mutex
+	// active holds the running attempts, and the ended ones until their record
+	// is written, by row key.
+	active map[string]*attempt
+	// voided holds the names of void attempts until their record is written.
+	voided map[string]bool
+	// pending holds the ended attempts whose record is not written yet.
 	pending []*attempt
 	wake    chan struct{}
-	down    time.Time
+	// backoffUntil is the time until which no insert calls the store.
+	backoffUntil time.Time
 }
 
-// attempt is one arrival that tries to own an id. Its record is final once
-// done is closed.
+// attempt is one arrival of a request that tries to own an id. Its record is
+// final once done is closed.
 type attempt struct {
 	key     string
 	digest  string
@@ -70,9 +76,9 @@
 	done    chan struct{}
 }
 
-// Begin inserts the record of an attempt. The attempt may run only if the
-// returned outcome is empty, and must then be ended with End; an Answered
-// outcome comes with the record whose answer is to be given again.
+// Begin inserts the record of an attempt. If the returned outcome is empty, the
+// attempt may run and must then be ended with End. If the outcome is Answered,
+// the returned record holds the answer to replay.
 func (i *Idempotency) Begin(ctx context.Context, account, id, name, digest string) (record.Record, outcome.Outcome) {
 	r := record.Record{
 		Attempt: name, Host: i.Host, Incarnation: i.Incarnation, Digest: digest,
@@ -80,7 +86,7 @@
 	}
 	k := Key(account, id)
 	for {
-		a, n := i.enter(k, r)
+		a, n := i.acquire(k, r)
 		if n {
 			return i.insert(ctx, a)
 		}
@@ -90,23 +96,23 @@
 		select {
 		case <-a.done:
 		case <-ctx.Done():
-			return r, refuse(outcome.Running, outcome.RanUnknown, "an earlier attempt runs")
+			return r, refuse(outcome.Running, outcome.RanUnknown, "an earlier attempt is still running")
 		}
 		if a.record.State != record.Void {
-			return a.record, i.reply(a.record, digest)
+			return a.record, i.outcomeFor(a.record, digest)
 		}
 	}
 }
 
-// End records how an attempt that Begin let run has ended. It does not wait
-// for the store: Run writes the record, and until then this host answers for
+// End records the result of an attempt that Begin permitted to run. It does not
+// wait for the store: Run writes the record, and until then this host serves
 // the id from memory.
 func (i *Idempotency) End(account, id string, r record.Record) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	a := i.active[Key(account, id)]
 	if a == nil || a.record.Attempt != r.Attempt {
-		panic("idempotency: End of an attempt that does not run")
+		panic("idempotency: End called for an attempt that is not running")
 	}
 	i.end(a, r)
 }
@@ -116,17 +122,17 @@
 	return prefix + url.PathEscape(account) + "/" + url.PathEscape(id)
 }
 
-// enter returns the attempt that owns the id on this host, a new one if there
-// is none. An attempt that did not run is replaced even before the store
-// knows.
-func (i *Idempotency) enter(k string, r record.Record) (*attempt, bool) {
+// acquire returns the attempt that owns the id on this host, and true if it
+// created that attempt. A void attempt is replaced even before the store has
+// its void record.
+func (i *Idempotency) acquire(k string, r record.Record) (*attempt, bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.active == nil {
 		i.active = make(map[string]*attempt)
-		i.given = make(map[string]bool)
+		i.voided = make(map[string]bool)
 	}
-	if a := i.active[k]; a != nil && !a.void() {
+	if a := i.active[k]; a != nil && !a.isVoid() {
 		return a, false
 	}
 	a := &attempt{key: k, digest: r.Digest, record: r, done: make(chan struct{})}
@@ -134,23 +140,23 @@
 	return a, true
 }
 
-// insert writes the record until it is known who owns the row. An insert whose
-// answer was lost is settled by writing it again: whichever of the two takes
-// effect first makes the other fail its expectation, and the row then names
+// insert writes the record until the owner of the row is known. If the answer
+// to a write is lost, the same write is sent again: whichever copy takes effect
+// first makes the other fail its version check, and the row then names either
 // this attempt or another one.
 func (i *Idempotency) insert(ctx context.Context, a *attempt) (record.Record, outcome.Outcome) {
-	if i.Clock.Now().Before(i.downUntil()) {
-		return i.drop(a, unavailable())
+	if i.Clock.Now().Before(i.storeBackoffEnd()) {
+		return i.discard(a, unavailable())
 	}
 	b, err := codec.Marshal(a.record)
 	if err != nil {
-		panic(err) // a Record holds nothing that JSON cannot
+		panic(err) // a Record always encodes as JSON
 	}
 	x, f := deadline.With(ctx, i.Clock, i.Timeout)
 	defer f()
 	v := uint64(0)
 	for {
-		ok, err := i.Group.Write(x, row.Row{Key: a.key, Value: b, Version: v}, i.index(a)...)
+		ok, err := i.Group.Write(x, row.Row{Key: a.key, Value: b, Version: v}, i.indexRows(a)...)
 		if err == nil && ok {
 			return i.grant(a, v+1)
 		}
@@ -159,10 +165,10 @@
 			return i.giveUp(ctx, a)
 		}
 		c, w := i.owner(o, a)
-		if w == theirs {
-			return i.settle(a, c)
+		if w == ownedByOther {
+			return i.adopt(a, c)
 		}
-		if w == ours {
+		if w == ownedBySelf {
 			return i.grant(a, o.Version)
 		}
 		v = o.Version
@@ -174,30 +180,30 @@
 
 // Owners of a row.
 const (
-	nobody = iota
-	ours
-	theirs
+	unowned = iota
+	ownedBySelf
+	ownedByOther
 )
 
-// owner tells who holds a row: nobody if it is absent, void, or left by an
-// attempt of this process that was given up.
+// owner returns the record in a row and who owns the row. A row is unowned if
+// it is absent, void, or left by an attempt that this process gave up.
 func (i *Idempotency) owner(o row.Row, a *attempt) (record.Record, int) {
 	var v record.Record
 	if o.Version == 0 {
-		return v, nobody
+		return v, unowned
 	}
 	if err := codec.Unmarshal(o.Value, &v); err != nil {
-		return record.Record{Digest: a.digest, State: record.Unknown}, theirs
+		return record.Record{Digest: a.digest, State: record.Unknown}, ownedByOther
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	switch {
 	case v.Attempt == a.record.Attempt:
-		return v, ours
-	case v.State == record.Void || v.State == record.Running && i.given[v.Attempt]:
-		return v, nobody
+		return v, ownedBySelf
+	case v.State == record.Void || v.State == record.Running && i.voided[v.Attempt]:
+		return v, unowned
 	default:
-		return v, theirs
+		return v, ownedByOther
 	}
 }
 
@@ -208,20 +214,22 @@
 	return a.record, outcome.Outcome{}
 }
 
-// settle ends an attempt that lost the id to the owner of record v.
-func (i *Idempotency) settle(a *attempt, v record.Record) (record.Record, outcome.Outcome) {
+// adopt ends an attempt whose id is owned by another attempt, with record v of
+// that owner.
+func (i *Idempotency) adopt(a *attempt, v record.Record) (record.Record, outcome.Outcome) {
 	i.mu.Lock()
 	a.record = v
 	close(a.done)
-	i.forget(a)
+	i.removeActive(a)
 	i.mu.Unlock()
-	return v, i.reply(v, a.digest)
+	return v, i.outcomeFor(v, a.digest)
 }
 
-// giveUp refuses a request whose record could not be settled. "Not run" is
-// true, because only a granted attempt is sent. The insert may still take
-// effect later; Run voids it, and this process knows the attempt as given up,
-// so that it blocks the id for no longer than the store is out.
+// giveUp refuses a request whose record could not be written for certain. The
+// outcome "not run" is correct, because only a granted attempt is sent. The
+// insert may still take effect later. Run then voids it, and this process
+// treats the attempt as given up, so that it blocks the id no longer than the
+// store is unavailable.
 func (i *Idempotency) giveUp(ctx context.Context, a *attempt) (record.Record, outcome.Outcome) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -231,36 +239,36 @@
 	if ctx.Err() != nil {
 		return r, refuse(outcome.Left, outcome.RanNo, "the caller left")
 	}
-	i.down = i.Clock.Now().Add(downPause)
+	i.backoffUntil = i.Clock.Now().Add(storeBackoff)
 	return r, unavailable()
 }
 
-// drop ends an attempt for which nothing was sent to the store.
-func (i *Idempotency) drop(a *attempt, o outcome.Outcome) (record.Record, outcome.Outcome) {
+// discard ends an attempt for which nothing was sent to the store.
+func (i *Idempotency) discard(a *attempt, o outcome.Outcome) (record.Record, outcome.Outcome) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	a.record.State = record.Void
 	close(a.done)
-	i.forget(a)
+	i.removeActive(a)
 	return a.record, o
 }
 
-// reply is the answer to an arrival that finds record v.
-func (i *Idempotency) reply(v record.Record, digest string) outcome.Outcome {
-	return repeat.Outcome(v, digest, i.runs(v))
+// outcomeFor returns the outcome of a request that finds record v.
+func (i *Idempotency) outcomeFor(v record.Record, digest string) outcome.Outcome {
+	return repeat.Outcome(v, digest, i.ownerAlive(v))
 }
 
-// runs reports whether the owner of a record may still end it. This process
-// answers for its own attempts from memory, so a row of its own that memory
-// does not know is over.
-func (i *Idempotency) runs(v record.Record) bool {
+// ownerAlive reports whether the owner of a record may still end it. This
+// process serves its own attempts from memory, so a row of this host that is
+// not in memory belongs to an attempt that has already ended.
+func (i *Idempotency) ownerAlive(v record.Record) bool {
 	if v.Host == i.Host {
 		return false
 	}
 	return i.Alive(v.Host, v.Incarnation)
 }
 
-func (i *Idempotency) index(a *attempt) []row.Row {
+func (i *Idempotency) indexRows(a *attempt) []row.Row {
 	if i.Index == nil {
 		return nil
 	}
@@ -270,26 +278,27 @@
 func (i *Idempotency) pause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-i.Clock.After(roundPause):
+	case <-i.Clock.After(retryDelay):
 	}
 }
 
-func (i *Idempotency) downUntil() time.Time {
+func (i *Idempotency) storeBackoffEnd() time.Time {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.down
+	return i.backoffUntil
 }
 
-// forget takes an attempt off the map. The caller holds the lock.
-func (i *Idempotency) forget(a *attempt) {
+// removeActive removes an attempt from the active ones. The caller holds the
+// lock.
+func (i *Idempotency) removeActive(a *attempt) {
 	if i.active[a.key] == a {
 		delete(i.active, a.key)
 	}
 }
 
-// void reports whether an attempt has ended without running. The caller holds
+// isVoid reports whether an attempt has ended without running. The caller holds
 // the lock.
-func (a *attempt) void() bool {
+func (a *attempt) isVoid() bool {
 	select {
 	case <-a.done:
 		return a.record.State == record.Void
--- a/idempotency/property_test.go
+++ b/idempotency/property_test.go
@@ -12,83 +12,85 @@
 	"celeryreach.example/celeryreach/record"
 )
 
-// model judges by its own count of runs: an attempt that was let run and did
-// not end void has run.
+// model checks the hosts against its own count of runs. An attempt that was
+// permitted to run and did not end as void has run.
 type model struct {
-	world
-	attempt int
-	tries   map[string][2]string // attempts that run: host, id
-	ran     map[string]int       // id: runs
+	scriptState
+	lastAttempt  int
+	openAttempts map[string][2]string // attempts that run: host, id
+	runCounts    map[string]int       // id: runs
 }
 
-// step does one random thing and returns what is wrong, empty if nothing is.
+// step performs one random operation and returns a description of the failure
+// it found, empty if there is none.
 func (m *model) step(t *rapid.T) string {
 	h := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "host")
 	switch rapid.SampledFrom([]string{"begin", "begin", "begin", "end", "store", "arrive", "flush", "replace"}).Draw(t, "step") {
 	case "begin":
 		id := rapid.SampledFrom([]string{"1", "2"}).Draw(t, "id")
-		m.attempt++
-		n := fmt.Sprint(m.attempt)
+		m.lastAttempt++
+		n := fmt.Sprint(m.lastAttempt)
 		r, o := m.begin(h, n, id, "body")
 		if o.Outcome == "" {
-			m.runs[n] = r
-			m.tries[n] = [2]string{h, id}
-			m.ran[id]++
-			if m.ran[id] > 1 {
+			m.records[n] = r
+			m.openAttempts[n] = [2]string{h, id}
+			m.runCounts[id]++
+			if m.runCounts[id] > 1 {
 				return "id " + id + " runs twice"
 			}
 		}
-		if o.Outcome == outcome.Answered && m.ran[id] == 0 {
+		if o.Outcome == outcome.Answered && m.runCounts[id] == 0 {
 			return "id " + id + " is answered and has not run"
 		}
 	case "end":
-		for n, v := range m.tries {
-			delete(m.tries, n)
-			r := m.runs[n]
+		for n, v := range m.openAttempts {
+			delete(m.openAttempts, n)
+			r := m.records[n]
 			r.State = rapid.SampledFrom([]string{record.Done, record.Void, record.Unknown}).Draw(t, "state")
 			if r.State == record.Void {
-				m.ran[v[1]]--
+				m.runCounts[v[1]]--
 			}
 			m.hosts[v[0]].End("camp", v[1], r)
-			m.open[v[0]+"/"+v[1]] = false
+			m.running[v[0]+"/"+v[1]] = false
 			break
 		}
 	case "store":
 		m.store.set(rapid.SampledFrom([]string{"up", "up", "out", "lose", "late"}).Draw(t, "mode"))
 	case "arrive":
-		m.store.arrive()
+		m.store.applyDelayed()
 	case "flush":
 		m.flush(h)
 	case "replace":
-		for n, v := range m.tries {
+		for n, v := range m.openAttempts {
 			if v[0] == h {
-				delete(m.tries, n) // it may have run, and nobody will end it
-				m.open[h+"/"+v[1]] = false
+				delete(m.openAttempts, n) // it may have run, and it is never ended
+				m.running[h+"/"+v[1]] = false
 			}
 		}
-		m.inc[h]++
-		m.hosts[h] = newHost(m.clock, m.store, h, m.inc[h], m.alive)
+		m.incarnations[h]++
+		m.hosts[h] = newHost(m.clock, m.store, h, m.incarnations[h], m.alive)
 	}
 	return ""
 }
 
 func newModel(blind bool) *model {
-	m := &model{tries: make(map[string][2]string), ran: make(map[string]int)}
+	m := &model{openAttempts: make(map[string][2]string), runCounts: make(map[string]int)}
 	m.clock = clockwork.NewFakeClock()
-	m.store = &faultyStore{blind: blind}
+	m.store = &faultyStore{ignoreExpect: blind}
 	m.hosts = make(map[string]*idempotency.Idempotency)
-	m.inc = make(map[string]uint64)
-	m.runs = make(map[string]record.Record)
-	m.open = make(map[string]bool)
+	m.incarnations = make(map[string]uint64)
+	m.records = make(map[string]record.Record)
+	m.running = make(map[string]bool)
 	for _, h := range []string{"a", "b"} {
 		m.hosts[h] = newHost(m.clock, m.store, h, 0, m.alive)
 	}
 	return m
 }
 
-// A parent is charged twice, or told "not run" for a deposit that was taken:
-// two hosts get repetitions of one id while the store loses answers, delays
-// commits past the read-back and goes out, and hosts are replaced in between.
+// TestAtMostOnce guards against running an id twice, and against answering "not
+// run" for a request that ran. Two hosts get repeated requests with the same
+// ids while the store loses answers, delays commits past the read that follows,
+// or is unavailable, and hosts are replaced.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(false)
@@ -100,8 +102,8 @@
 	})
 }
 
-// The test of the test: a store that does not check expectations makes the
-// model find a second run.
+// TestModelFindsSecondRun checks that the model can fail: with a store that
+// ignores expected versions it finds a second run.
 func TestModelFindsSecondRun(t *testing.T) {
 	f := ""
 	m := newModel(true)
--- a/idempotency/run.go
+++ b/idempotency/run.go
@@ -12,36 +12,37 @@
 )
 
 const (
-	// endLimit is the greatest number of ended attempts in one commit.
-	endLimit = 32
-	// endPause is the time between two commits of ended attempts: nobody
-	// waits for them, so they are gathered.
-	endPause = 100 * time.Millisecond
-	// failPause is the time before a store that failed is tried again.
-	failPause = 250 * time.Millisecond
-	// flushTimeout bounds the last writes of a host that shuts down: a silent
-	// store must not hold up the end of the process.
+	// flushBatchLimit is the maximum number of ended attempts in one commit.
+	flushBatchLimit = 32
+	// flushInterval is the time between two commits of ended attempts. No
+	// caller waits for these commits, so the attempts are batched.
+	flushInterval = 100 * time.Millisecond
+	// flushRetryDelay is the delay before the next write after the store has
+	// failed.
+	flushRetryDelay = 250 * time.Millisecond
+	// flushTimeout bounds the last writes during shutdown, so that an
+	// unresponsive store does not delay the end of the process.
 	flushTimeout = 2 * time.Second
 )
 
 // Run writes the records of ended attempts until ctx ends, and then those that
-// are left. What a dead store still does not take is answered "outcome
-// unknown" by the other hosts, never run again.
+// remain. If the store is unavailable at that point, other hosts answer the
+// unwritten ids with "outcome unknown" and never run them again.
 func (i *Idempotency) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		p := endPause
+		p := flushInterval
 		if !i.flush(ctx) {
-			p = failPause
+			p = flushRetryDelay
 		}
 		select {
 		case <-ctx.Done():
 		case <-i.Clock.After(p):
-			i.sleep(ctx)
+			i.waitForPending(ctx)
 		}
 	}
 	x, f := deadline.With(context.WithoutCancel(ctx), i.Clock, flushTimeout)
 	defer f()
-	for i.left() > 0 && x.Err() == nil {
+	for i.pendingCount() > 0 && x.Err() == nil {
 		if !i.flush(x) {
 			i.pause(x)
 		}
@@ -49,24 +50,27 @@
 	return nil
 }
 
-// left returns the number of ended attempts that the store does not know yet.
-func (i *Idempotency) left() int {
+// pendingCount returns the number of ended attempts whose record is not stored
+// yet.
+func (i *Idempotency) pendingCount() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return len(i.pending)
 }
 
-func (i *Idempotency) sleep(ctx context.Context) {
-	if i.left() > 0 {
+// waitForPending returns when an ended attempt has to be written or ctx ends.
+func (i *Idempotency) waitForPending(ctx context.Context) {
+	if i.pendingCount() > 0 {
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-i.woken():
+	case <-i.wakeChannel():
 	}
 }
 
-func (i *Idempotency) woken() chan struct{} {
+// wakeChannel returns the channel that receives a value when an attempt ends.
+func (i *Idempotency) wakeChannel() chan struct{} {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.wake == nil {
@@ -75,13 +79,13 @@
 	return i.wake
 }
 
-// end makes r the final record of an attempt. Until the store knows a void one,
-// this process knows that the attempt did not run, and lets the next one have
-// the row. The caller holds the lock.
+// end makes r the final record of an attempt. Until the store has the record of
+// a void attempt, this process remembers that the attempt did not run, and lets
+// the next attempt take over the row. The caller holds the lock.
 func (i *Idempotency) end(a *attempt, r record.Record) {
 	a.record = r
 	if r.State == record.Void {
-		i.given[r.Attempt] = true
+		i.voided[r.Attempt] = true
 	}
 	close(a.done)
 	i.pending = append(i.pending, a)
@@ -94,28 +98,29 @@
 	}
 }
 
-// flush writes what is pending and reports whether the store took all of it.
+// flush writes a batch of pending records and reports whether the store
+// accepted all of it.
 func (i *Idempotency) flush(ctx context.Context) bool {
 	i.mu.Lock()
-	n := min(len(i.pending), endLimit)
+	n := min(len(i.pending), flushBatchLimit)
 	p := append([]*attempt(nil), i.pending[:n]...)
 	i.mu.Unlock()
 	if n == 0 {
 		return true
 	}
-	s := i.together(ctx, p)
+	s := i.writeBatch(ctx, p)
 	if s == nil {
-		s = i.each(ctx, p)
+		s = i.writeEach(ctx, p)
 	}
-	return i.settled(p, s)
+	return i.removeWritten(p, s)
 }
 
-// each writes the records one by one, and stops when the store does not answer:
-// the others would only wait for it in turn.
-func (i *Idempotency) each(ctx context.Context, p []*attempt) []bool {
+// writeEach writes the records one by one. It stops at the first error of the
+// store, because each further write could wait for the store in turn.
+func (i *Idempotency) writeEach(ctx context.Context, p []*attempt) []bool {
 	s := make([]bool, len(p))
 	for j, a := range p {
-		ok, err := i.alone(ctx, a)
+		ok, err := i.writeOne(ctx, a)
 		if err != nil {
 			break
 		}
@@ -124,8 +129,9 @@
 	return s
 }
 
-// together writes all records with one commit; nil says that it did not work.
-func (i *Idempotency) together(ctx context.Context, p []*attempt) []bool {
+// writeBatch writes all records in one commit. It returns nil if they could not
+// be written together.
+func (i *Idempotency) writeBatch(ctx context.Context, p []*attempt) []bool {
 	var c commit.Commit
 	s := make([]bool, len(p))
 	for j, a := range p {
@@ -142,10 +148,10 @@
 	return s
 }
 
-// alone writes one record after reading the row: only a row of the attempt
-// itself is changed, and an absent one is filled, so that an insert that still
-// travels fails its expectation.
-func (i *Idempotency) alone(ctx context.Context, a *attempt) (bool, error) {
+// writeOne reads the row of an attempt and then writes its record. It changes
+// only a row of this attempt. It also fills an absent row, so that an insert
+// that is still in flight fails its version check.
+func (i *Idempotency) writeOne(ctx context.Context, a *attempt) (bool, error) {
 	o, err := i.Platform.Read(ctx, a.key)
 	if err != nil {
 		return false, err
@@ -165,8 +171,9 @@
 	})
 }
 
-// settled takes the attempts that the store knows off the list.
-func (i *Idempotency) settled(p []*attempt, s []bool) bool {
+// removeWritten removes the attempts whose records are stored from the pending
+// ones, and reports whether none remains of p.
+func (i *Idempotency) removeWritten(p []*attempt, s []bool) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.pending = i.pending[len(p):]
@@ -177,8 +184,8 @@
 			k = false
 			continue
 		}
-		i.forget(a)
-		delete(i.given, a.record.Attempt)
+		i.removeActive(a)
+		delete(i.voided, a.record.Attempt)
 	}
 	return k
 }
@@ -186,7 +193,7 @@
 func marshal(r record.Record) []byte {
 	b, err := codec.Marshal(r)
 	if err != nil {
-		panic(err) // a Record holds nothing that JSON cannot
+		panic(err) // a Record always encodes as JSON
 	}
 	return b
 }
--- a/idempotency/store_test.go
+++ b/idempotency/store_test.go
@@ -18,17 +18,18 @@
 
 var errStore = errors.New("the store does not answer")
 
-// faultyStore is a table whose calls fail as told: "up", "out" (no effect), "lose"
-// (commits take effect, their answers are lost) or "late" (commits fail, and
-// take effect when arrive is called). Reads fail only when it is out.
+// faultyStore is a table with faults by mode: "up" (no fault), "out" (calls
+// fail without effect), "lose" (commits take effect, their answers are lost) or
+// "late" (commits fail, and take effect when applyDelayed is called). Reads
+// fail only in mode "out" or with failReads.
 type faultyStore struct {
 	table table.Table
 
-	mu      sync.Mutex
-	mode    string
-	late    []commit.Commit
-	noReads bool
-	blind   bool
+	mu           sync.Mutex
+	mode         string
+	delayed      []commit.Commit
+	failReads    bool
+	ignoreExpect bool
 }
 
 func (s *faultyStore) set(mode string) {
@@ -44,7 +45,7 @@
 func (s *faultyStore) read(_ context.Context, k string) (row.Row, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.mode == "out" || s.noReads {
+	if s.mode == "out" || s.failReads {
 		return row.Row{}, errStore
 	}
 	return s.table.Read(k), nil
@@ -53,7 +54,7 @@
 func (s *faultyStore) commit(_ context.Context, c commit.Commit) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.blind {
+	if s.ignoreExpect {
 		c.Expect = nil
 	}
 	switch s.mode {
@@ -63,24 +64,24 @@
 		s.table.Commit(c)
 		return false, errStore
 	case "late":
-		s.late = append(s.late, c)
+		s.delayed = append(s.delayed, c)
 		return false, errStore
 	default:
 		return s.table.Commit(c), nil
 	}
 }
 
-// arrive lets the late commits take effect and returns how many did.
-func (s *faultyStore) arrive() int {
+// applyDelayed applies the delayed commits and returns how many took effect.
+func (s *faultyStore) applyDelayed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, c := range s.late {
+	for _, c := range s.delayed {
 		if s.table.Commit(c) {
 			n++
 		}
 	}
-	s.late = nil
+	s.delayed = nil
 	return n
 }
 
@@ -88,15 +89,15 @@
 	p := s.platform()
 	return &idempotency.Idempotency{
 		Clock: c, Platform: p, Host: name, Incarnation: incarnation, Alive: alive, Timeout: 100 * time.Millisecond,
-		// No gap and no timeout of its own: its timers would be counted by advance.
+		// Without Gap and Timeout, because advance would count their timers.
 		Group: &group.Group{Clock: c, Commit: p.Commit, Limit: 16},
 	}
 }
 
 // advance moves the clock whenever the code under test waits for its pause
-// between two rounds, and returns when done is closed. Two timers run then: that
-// of the pause and that of the whole wait. Nothing depends on how fast the
-// goroutines are.
+// between two attempts, and returns when done is closed. During a pause two
+// timers run: one for the pause and one for the whole wait. The result does not
+// depend on the speed of the goroutines.
 func advance(c *clockwork.FakeClock, done <-chan struct{}) {
 	x, f := context.WithCancel(context.Background())
 	defer f()
--- a/keep/keep.go
+++ b/keep/keep.go
@@ -1,5 +1,5 @@
-// Package keep hands the counts of a host to the platform, so that the burn
-// report knows of hosts that have been replaced.
+// Package keep stores the counters of a host on the platform, so that the burn
+// report includes hosts that have been replaced.
 package keep
 
 import (
@@ -20,31 +20,31 @@
 )
 
 const (
-	prefix   = "burn/"
-	lastCall = 2 * time.Second
-	// old is the longest window of the report.
-	old = 6 * time.Hour
+	prefix            = "burn/"
+	finalWriteTimeout = 2 * time.Second
+	// retention is the longest window of the report.
+	retention = 6 * time.Hour
 )
 
-// Keep writes what is new at each interval and when the host ends: one object
-// and one row. A host that dies without a word loses what it counted since the
-// last interval, and the report has no way to know it; that is the price of
-// two writes in five minutes in place of two a second.
+// Keep writes the new counts as one object and one row, at each interval and on
+// shutdown. A host that crashes loses the counts since the last interval, and
+// the report cannot detect the loss. That is the price of two writes in five
+// minutes instead of two per second.
 type Keep struct {
-	// Clock spaces the writes.
+	// Clock paces the writes.
 	Clock clockwork.Clock
-	// Log receives one line for each write that failed.
+	// Log receives one line for each failed write.
 	Log *log.Logger
-	// Platform keeps the counts.
+	// Platform stores the counts.
 	Platform store.Store
-	// Every is the time between two writes.
+	// Every is the interval between two writes.
 	Every time.Duration
 	// Sums returns the host's counts.
 	Sums func() sums.Sums
 
-	from time.Time
-	next int
-	own  []string
+	savedUntil   time.Time
+	nextSequence int
+	ownKeys      []string
 }
 
 // entry is the content of a row.
@@ -55,35 +55,35 @@
 	Hash        string
 }
 
-// Run writes until ctx ends, and then once more.
+// Run writes at each interval until ctx ends, and then once more.
 func (k *Keep) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
-			x, f := context.WithTimeout(context.WithoutCancel(ctx), lastCall)
+			x, f := context.WithTimeout(context.WithoutCancel(ctx), finalWriteTimeout)
 			defer f()
 			k.save(x, k.Clock.Now().Add(time.Minute))
 			return nil
 		case <-k.Clock.After(k.Every):
-			// The running minute goes with the next write, whole.
+			// The current minute is incomplete and is left to the next write.
 			k.save(ctx, k.Clock.Now().Truncate(time.Minute))
 		}
 	}
 }
 
-// save writes what was counted before to. What could not be written goes with
-// the next write.
+// save writes the counts before to. Counts that could not be written are
+// included in the next write.
 func (k *Keep) save(ctx context.Context, to time.Time) {
-	s := between(k.Sums(), k.from, to)
+	s := between(k.Sums(), k.savedUntil, to)
 	if len(s.Tallies) == 0 && len(s.Drains) == 0 {
-		k.from = to
+		k.savedUntil = to
 		return
 	}
 	if err := k.write(ctx, s); err != nil {
-		k.Log.Warn("counts not kept", "Error", err)
+		k.Log.Warn("failed to store counts", "Error", err)
 		return
 	}
-	k.from = to
+	k.savedUntil = to
 }
 
 func (k *Keep) write(ctx context.Context, s sums.Sums) error {
@@ -99,27 +99,27 @@
 	if err != nil {
 		return errors.Wrap(err, "counts")
 	}
-	r := row.Row{Key: fmt.Sprintf("%s%s/%016x/%06d", prefix, s.Host, s.Incarnation, k.next), Value: v}
+	r := row.Row{Key: fmt.Sprintf("%s%s/%016x/%06d", prefix, s.Host, s.Incarnation, k.nextSequence), Value: v}
 	c := commit.Commit{Put: []row.Row{r}}
-	n := int(old / k.Every)
-	if len(k.own) > n {
-		c.Delete = []string{k.own[0]}
+	n := int(retention / k.Every)
+	if len(k.ownKeys) > n {
+		c.Delete = []string{k.ownKeys[0]}
 	}
-	// Writing the same row twice does no harm, so a lost answer is no matter.
+	// Writing the same row twice is harmless, so a lost answer needs no check.
 	if _, err := k.Platform.Commit(ctx, c); err != nil {
 		return err
 	}
-	k.next++
-	k.own = append(k.own, r.Key)
+	k.nextSequence++
+	k.ownKeys = append(k.ownKeys, r.Key)
 	if c.Delete != nil {
-		k.own = k.own[1:]
+		k.ownKeys = k.ownKeys[1:]
 	}
 	return nil
 }
 
-// Kept returns the counts of processes that no longer run, and removes the
-// rows that are older than the longest window. Alive tells which processes
-// answer for themselves.
+// Kept returns the counts of processes that no longer run, and removes the rows
+// that are older than the longest window. Alive reports whether a process still
+// runs and therefore returns its counts itself.
 func (k *Keep) Kept(ctx context.Context, alive func(host string, incarnation uint64) bool) ([]sums.Sums, error) {
 	l, err := k.Platform.Scan(ctx, prefix)
 	if err != nil {
@@ -132,7 +132,7 @@
 		if err := codec.Unmarshal(v.Value, &e); err != nil {
 			return nil, errors.Wrap(err, "kept counts")
 		}
-		if k.Clock.Since(e.At) > old {
+		if k.Clock.Since(e.At) > retention {
 			c.Delete = append(c.Delete, v.Key)
 			continue
 		}
@@ -146,7 +146,7 @@
 		r = append(r, s)
 	}
 	if len(c.Delete) > 0 {
-		// Nobody needs these rows; the next report tries again.
+		// These rows are no longer needed. After an error the next report deletes them.
 		_, _ = k.Platform.Commit(ctx, c)
 	}
 	return r, nil
@@ -161,8 +161,9 @@
 	return s, errors.Wrap(codec.Unmarshal(b, &s), "kept counts")
 }
 
-// between returns what was counted in a time. Histograms are left out: they
-// are not cut by time, and the report says for which hosts it has them.
+// between returns the counts of a time range. Histograms are left out, because
+// they cannot be split by time; the report names the hosts whose histograms it
+// includes.
 func between(s sums.Sums, from, to time.Time) sums.Sums {
 	r := sums.Sums{Host: s.Host, Incarnation: s.Incarnation, Region: s.Region, At: s.At}
 	i := func(unix int64) bool { return unix >= from.Unix() && unix < to.Unix() }
--- a/keep/keep_test.go
+++ b/keep/keep_test.go
@@ -21,7 +21,7 @@
 	"celeryreach.example/celeryreach/tally"
 )
 
-// faultyStore is a platform in memory that can fail.
+// faultyStore is an in-memory platform whose object writes can fail.
 type faultyStore struct {
 	table   table.Table
 	mu      sync.Mutex
@@ -54,11 +54,11 @@
 	}
 }
 
-// A host counts in three minutes; the store is down at its first write, and it
-// ends in the third minute. Its counts are kept once each, with the second
-// write and with the last one, and are given back only while nobody answers
-// for that process itself.
-func TestKept(t *testing.T) {
+// TestCountsStoredOnce checks that each count is stored exactly once and returned only
+// while its process does not run. The host counts in three minutes, the store
+// is down at the first write, and the host ends in the third minute: the second
+// write and the final one must contain all counts.
+func TestCountsStoredOnce(t *testing.T) {
 	c := clockwork.NewFakeClockAt(time.Unix(60_000_000, 0))
 	s := &faultyStore{objects: make(map[string][]byte), puts: make(chan struct{}, 10), down: true}
 	v := sums.Sums{Host: "h", Incarnation: 7, Region: "north"}
--- a/knobs/knobs.go
+++ b/knobs/knobs.go
@@ -1,20 +1,22 @@
-// Package knobs describes the faults that the platform stand-in plays.
+// Package knobs describes the faults that the platform stand-in simulates.
 package knobs
 
 import "time"
 
-// Knobs are set by tests and by hand while a stand-in runs.
+// Knobs are the fault settings. Tests and operators change them while a
+// stand-in runs.
 type Knobs struct {
 	// Outage makes every call fail without effect.
 	Outage bool `json:",omitzero"`
 	// Delay is added to every call.
 	Delay time.Duration `json:",omitzero"`
-	// LoseAnswers is how many of the next commits take effect and then break
-	// the connection.
+	// LoseAnswers is the number of next commits that take effect and whose
+	// connection is then closed without an answer.
 	LoseAnswers int `json:",omitzero"`
-	// LoseCommits is how many of the next commits break the connection before
-	// they take effect: to the caller they look like lost answers.
+	// LoseCommits is the number of next commits whose connection is closed
+	// before they take effect. To the caller they look the same as lost
+	// answers.
 	LoseCommits int `json:",omitzero"`
-	// ListLag is how long the host list stays behind.
+	// ListLag is the maximum age of the host list.
 	ListLag time.Duration `json:",omitzero"`
 }
--- a/mint/mint.go
+++ b/mint/mint.go
@@ -1,4 +1,4 @@
-// Package mint hands out tickets to callers.
+// Package mint serves the HTTP endpoint that issues tickets to callers.
 package mint
 
 import (
@@ -15,17 +15,17 @@
 
 const maxTickets = 100
 
-// Mint answers GET /tickets.
+// Mint handles GET /tickets.
 type Mint struct {
-	// Admission identifies keys.
+	// Admission identifies the key of a request.
 	Admission *admission.Admission
-	// Ticket makes the tickets.
+	// Ticket issues the tickets.
 	Ticket *ticket.Ticket
 	// EntryHost is the caller address of this host.
 	EntryHost string
 }
 
-// ServeHTTP hands out as many tickets as the query's count says, or one.
+// ServeHTTP issues the number of tickets in the query parameter count, or one.
 func (m *Mint) ServeHTTP(w http.ResponseWriter, h *http.Request) {
 	c, ok := m.Admission.Identify(h)
 	if !ok {
@@ -36,7 +36,7 @@
 	if v := h.URL.Query().Get("count"); v != "" {
 		p, err := strconv.Atoi(v)
 		if err != nil || p < 1 || p > maxTickets {
-			refuse(w, outcome.BadRequest, "count is no number from 1 to 100")
+			refuse(w, outcome.BadRequest, "count must be a number from 1 to 100")
 			return
 		}
 		n = p
@@ -45,11 +45,11 @@
 		Tickets: m.Ticket.Mint(c.Account, n), EntryHost: m.EntryHost, Lifetime: m.Ticket.Lifetime,
 	})
 	if err != nil {
-		panic(err) // Tickets hold nothing that JSON cannot
+		panic(err) // Tickets always encode as JSON
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Cache-Control", "no-store")
-	_, _ = w.Write(b) // a failed write means that the caller left
+	_, _ = w.Write(b) // a failed write means that the caller has disconnected
 }
 
 func refuse(w http.ResponseWriter, o, m string) {
--- a/once/once.go
+++ b/once/once.go
@@ -1,5 +1,5 @@
-// Package once runs a non-idempotent request with an id at most once, whichever
-// host or failure domain its attempts reach.
+// Package once runs a non-idempotent request with an id at most once,
+// regardless of the host or failure domain that its attempts reach.
 package once
 
 import (
@@ -21,39 +21,40 @@
 )
 
 const (
-	// bodyBytes bounds the body of a request with an id: it is held in
-	// memory, since its digest decides before anything leaves.
-	bodyBytes = 1 << 20
-	// answerBytes bounds an answer that can be given again.
-	answerBytes = 64 << 10
+	// maxBodyBytes limits the body of a request with an id. The body is held in
+	// memory, because its digest is needed before the request is sent.
+	maxBodyBytes = 1 << 20
+	// maxAnswerBytes limits an answer that is recorded for replay.
+	maxAnswerBytes = 64 << 10
 )
 
-// ledger decides who may run an id and keeps how the attempt ended.
-type ledger struct {
+// attemptStore decides whether an attempt may run its id, and records how the
+// attempt ended.
+type attemptStore struct {
 	begin func(ctx context.Context, account, id, attempt, digest string) (record.Record, outcome.Outcome)
 	end   func(account, id string, r record.Record)
 }
 
-// Once stands at the entry host, before the request goes to its own failure
-// domain or another one: so one attempt covers both, and the host that the
-// caller talks to owns the record.
+// Once runs on the entry host, before the request is sent to its own failure
+// domain or another one. One attempt therefore covers both, and the host that
+// the caller is connected to owns the record.
 type Once struct {
-	// Begin and End keep the records of callers' own ids in the store.
+	// Begin and End record caller-chosen ids in the store.
 	Begin func(ctx context.Context, account, id, attempt, digest string) (record.Record, outcome.Outcome)
 	End   func(account, id string, r record.Record)
-	// Tickets keeps those of tickets in memory.
+	// Tickets records tickets in memory.
 	Tickets *ticket.Ticket
 }
 
-// Serve runs r, or answers from the record of an earlier attempt.
+// Serve runs r, or replays the recorded answer of an earlier attempt.
 func (o *Once) Serve(ctx context.Context, r *request.Request, w http.ResponseWriter, run func(context.Context, *request.Request, http.ResponseWriter) outcome.Outcome) outcome.Outcome {
 	d, e := digest(r)
 	if e.Outcome != "" {
 		return e
 	}
-	l := ledger{begin: o.Begin, end: o.End}
+	l := attemptStore{begin: o.Begin, end: o.End}
 	if ticket.Is(r.IdempotencyID) {
-		l = ledger{begin: o.Tickets.Begin, end: o.Tickets.End}
+		l = attemptStore{begin: o.Tickets.Begin, end: o.Tickets.End}
 	}
 	c, e := l.begin(ctx, r.Credential.Account, r.IdempotencyID, r.ID, d)
 	if e.Outcome == outcome.Answered {
@@ -66,10 +67,10 @@
 	return l.run(ctx, r, w, c, run)
 }
 
-// run makes the attempt. A caller that leaves before the request was sent
-// gives it up; one that leaves later changes nothing, because the caller will
-// ask for the outcome, and a canceled request has none.
-func (l ledger) run(ctx context.Context, r *request.Request, w http.ResponseWriter, c record.Record, run func(context.Context, *request.Request, http.ResponseWriter) outcome.Outcome) outcome.Outcome {
+// run makes the attempt. A caller that disconnects before the request is sent
+// cancels it. After that point the request continues, because the caller will
+// repeat it to get the outcome, and a canceled request has none.
+func (l attemptStore) run(ctx context.Context, r *request.Request, w http.ResponseWriter, c record.Record, run func(context.Context, *request.Request, http.ResponseWriter) outcome.Outcome) outcome.Outcome {
 	r.Gate = new(gate.Gate)
 	x, a := context.WithCancel(context.WithoutCancel(ctx))
 	defer a()
@@ -79,14 +80,14 @@
 		}
 	})
 	defer s()
-	k := &keep{writer: w, left: ctx, header: make(http.Header)}
+	k := &recordingWriter{writer: w, callerCtx: ctx, header: make(http.Header)}
 	c.State = record.Unknown
-	// The answer may break off with a panic, which ends the attempt as well.
+	// Forwarding the answer may panic, which must also end the attempt.
 	defer func() { l.end(r.Credential.Account, r.IdempotencyID, c) }()
 	e := run(x, r, k)
 	switch {
 	case e.Outcome == outcome.Answered:
-		k.fill(&c)
+		k.fillRecord(&c)
 	case e.Ran == outcome.RanNo:
 		c.State = record.Void
 	}
@@ -100,16 +101,16 @@
 func digest(r *request.Request) (string, outcome.Outcome) {
 	var b []byte
 	if r.Body != nil {
-		v, err := io.ReadAll(io.LimitReader(r.Body, bodyBytes+1))
+		v, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 		if err != nil {
-			return "", outcome.Outcome{Outcome: outcome.BadRequest, Ran: outcome.RanNo, Message: "the body broke off"}
+			return "", outcome.Outcome{Outcome: outcome.BadRequest, Ran: outcome.RanNo, Message: "failed to read the request body"}
 		}
 		b = v
 	}
-	if len(b) > bodyBytes {
+	if len(b) > maxBodyBytes {
 		return "", outcome.Outcome{
 			Outcome: outcome.TooLarge, Ran: outcome.RanNo,
-			Message: fmt.Sprintf("a request with an id may have a body of %d bytes", bodyBytes),
+			Message: fmt.Sprintf("the body of a request with an id must not exceed %d bytes", maxBodyBytes),
 		}
 	}
 	r.Length = int64(len(b))
@@ -117,7 +118,7 @@
 	r.Rewind = func() io.Reader { return bytes.NewReader(b) }
 	r.Body = r.Rewind()
 	h := sha256.New()
-	// The lengths keep "ab"+"c" from being "a"+"bc".
+	// The length prefixes make "ab"+"c" differ from "a"+"bc".
 	fmt.Fprintf(h, "%d %s %d %s %d ", len(r.Method), r.Method, len(r.Target), r.Target, len(b))
 	h.Write(b)
 	return hex.EncodeToString(h.Sum(nil)), outcome.Outcome{}
--- a/platformclient/platformclient.go
+++ b/platformclient/platformclient.go
@@ -1,4 +1,4 @@
-// Package platformclient reaches the platform over HTTP.
+// Package platformclient accesses the platform over HTTP.
 package platformclient
 
 import (
@@ -21,16 +21,16 @@
 )
 
 const (
-	idleConnections = 8
-	idleTimeout     = 30 * time.Second
+	maxIdleConnections = 8
+	idleTimeout        = 30 * time.Second
 )
 
-// Platformclient calls the platform at a base URL.
+// Platformclient sends requests to the platform at a base URL.
 type Platformclient struct {
 	// URL is the base URL.
 	URL string
-	// Timeout bounds each call: a silent connection must not hold up a part
-	// of the host for ever.
+	// Timeout bounds each call, so that an unresponsive connection does not
+	// block a component of the host indefinitely.
 	Timeout time.Duration
 	// Dial opens connections; nil means plain TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
@@ -39,12 +39,12 @@
 	transport *http.Transport
 }
 
-// Close ends all idle connections.
+// Close closes all idle connections.
 func (p *Platformclient) Close() {
 	p.roundTripper().CloseIdleConnections()
 }
 
-// Platform returns the functions of the seam.
+// Platform returns a store.Store whose functions call the platform.
 func (p *Platformclient) Platform() store.Store {
 	return store.Store{
 		Read: p.read, Scan: p.scan, Commit: p.commit, PutObject: p.put, GetObject: p.get,
@@ -54,19 +54,19 @@
 
 func (p *Platformclient) read(ctx context.Context, key string) (row.Row, error) {
 	var r row.Row
-	err := p.call(ctx, http.MethodGet, "/rows?key="+url.QueryEscape(key), nil, &r)
+	err := p.callJSON(ctx, http.MethodGet, "/rows?key="+url.QueryEscape(key), nil, &r)
 	return r, err
 }
 
 func (p *Platformclient) scan(ctx context.Context, prefix string) ([]row.Row, error) {
 	var r []row.Row
-	err := p.call(ctx, http.MethodGet, "/scan?prefix="+url.QueryEscape(prefix), nil, &r)
+	err := p.callJSON(ctx, http.MethodGet, "/scan?prefix="+url.QueryEscape(prefix), nil, &r)
 	return r, err
 }
 
 func (p *Platformclient) commit(ctx context.Context, c commit.Commit) (bool, error) {
 	var ok bool
-	err := p.call(ctx, http.MethodPost, "/commit", c, &ok)
+	err := p.callJSON(ctx, http.MethodPost, "/commit", c, &ok)
 	return ok, err
 }
 
@@ -81,15 +81,16 @@
 
 func (p *Platformclient) hosts(ctx context.Context) ([]member.Member, error) {
 	var m []member.Member
-	err := p.call(ctx, http.MethodGet, "/hosts", nil, &m)
+	err := p.callJSON(ctx, http.MethodGet, "/hosts", nil, &m)
 	return m, err
 }
 
 func (p *Platformclient) announce(ctx context.Context, m member.Member) error {
-	return p.call(ctx, http.MethodPost, "/hosts", m, nil)
+	return p.callJSON(ctx, http.MethodPost, "/hosts", m, nil)
 }
 
-func (p *Platformclient) call(ctx context.Context, method, path string, in, out any) error {
+// callJSON sends in as JSON and decodes the answer into out; both may be nil.
+func (p *Platformclient) callJSON(ctx context.Context, method, path string, in, out any) error {
 	var b []byte
 	if in != nil {
 		v, err := codec.Marshal(in)
@@ -105,6 +106,7 @@
 	return errors.Wrap(codec.Unmarshal(a, out), "platform answer")
 }
 
+// do sends one request and returns the body of the answer.
 func (p *Platformclient) do(ctx context.Context, method, path string, b []byte) ([]byte, error) {
 	x, f := context.WithTimeout(ctx, p.Timeout)
 	defer f()
@@ -128,11 +130,12 @@
 	return a, nil
 }
 
-// roundTripper is an http.Transport of the client's own. It follows no
-// redirects: a redirected commit would be sent twice.
+// roundTripper returns the client's own http.Transport. It is used without
+// http.Client, which follows redirects: a redirected commit would be sent
+// twice.
 func (p *Platformclient) roundTripper() *http.Transport {
 	p.once.Do(func() {
-		p.transport = &http.Transport{MaxIdleConnsPerHost: idleConnections, IdleConnTimeout: idleTimeout}
+		p.transport = &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, IdleConnTimeout: idleTimeout}
 		if p.Dial != nil {
 			p.transport.DialContext = func(ctx context.Context, _, address string) (net.Conn, error) {
 				return p.Dial(ctx, address)
--- a/platformclient/platformclient_test.go
+++ b/platformclient/platformclient_test.go
@@ -37,9 +37,10 @@
 	return commit.Commit{Put: []row.Row{{Key: key, Value: []byte(value)}}}
 }
 
-// The platform closes a kept connection after it has read a commit and before
-// it answers. net/http repeats a request on a kept connection when it takes it
-// for replayable; a commit that was sent twice would be applied twice.
+// TestCommitIsSentOnce guards against applying a commit twice. The platform
+// closes a kept-alive connection after it has read a commit and before it
+// answers. net/http retries a request on a kept-alive connection if it
+// considers the request replayable.
 func TestCommitIsSentOnce(t *testing.T) {
 	var n atomic.Int64
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -48,7 +49,7 @@
 		if r.Method == http.MethodPost && n.Add(1) > 1 {
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = w.Write([]byte("true")) // the test sees a short answer
+		_, _ = w.Write([]byte("true")) // a failed write makes the test fail
 	})}
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -72,8 +73,8 @@
 	must.Eq(t, 2, n.Load())
 }
 
-// To its caller a commit whose answer is lost looks the same whether it took
-// effect or not; only the row tells.
+// TestLostCommits checks that a commit whose connection breaks returns an error
+// whether or not it took effect; only the row shows which.
 func TestLostCommits(t *testing.T) {
 	s := &standin.Standin{Clock: clockwork.NewRealClock(), Table: new(table.Table)}
 	f := serve(t, s)
--- a/publish/publish.go
+++ b/publish/publish.go
@@ -1,4 +1,4 @@
-// Package publish makes a content the accepted one of its row.
+// Package publish stores a content and makes it the accepted version of a row.
 package publish
 
 import (
@@ -16,15 +16,15 @@
 )
 
 const (
-	settleTries = 5
-	settlePause = 200 * time.Millisecond
+	commitAttempts   = 5
+	commitRetryDelay = 200 * time.Millisecond
 )
 
 // Publish writes the versions of one row.
 type Publish struct {
-	// Clock paces the reading back after a lost answer.
+	// Clock paces the retries after a lost answer.
 	Clock clockwork.Clock
-	// Platform holds the row and the objects.
+	// Platform stores the row and the objects.
 	Platform store.Store
 	// Key is the key of the row.
 	Key string
@@ -46,18 +46,18 @@
 	return a, r.Version, errors.Wrap(codec.Unmarshal(r.Value, &a), "accepted version")
 }
 
-// Commit accepts content as the successor of version from. It reports false,
-// with what is accepted instead, when another version came in between. After
-// an error the content may still become the accepted one.
+// Commit accepts content as the successor of version from. If another version
+// was accepted in between, it returns false and that version. After an error
+// the content may still become the accepted version.
 func (p *Publish) Commit(ctx context.Context, from uint64, content []byte) (accepted.Accepted, bool, error) {
 	o, v, err := p.Current(ctx)
 	if err != nil || o.Version != from {
 		return o, false, err
 	}
 	a := o.Next(accepted.Hash(content))
-	// The content goes first: a row must never name an object that is absent.
+	// The content is stored first, because a row must never name an absent object.
 	if err := p.Platform.PutObject(ctx, accepted.ObjectName(p.Key, a.Hash), content); err != nil {
-		return o, false, errors.Wrap(err, "store the content")
+		return o, false, errors.Wrap(err, "store content")
 	}
 	b, err := codec.Marshal(a)
 	if err != nil {
@@ -70,23 +70,24 @@
 	if p.Fence != nil {
 		c = p.Fence(c)
 	}
-	return p.settle(ctx, a, c)
+	return p.commitUntilKnown(ctx, a, c)
 }
 
-// settle sends the commit until its outcome is known. After a lost answer the
-// row tells: our hash under our version means that the commit took effect, also
-// when others have already followed; another hash means that it never will.
-// A row that has not moved proves nothing, since the commit may still be on its
-// way, so the same commit is sent again: its condition lets at most one of the
-// copies take effect, and whichever does leaves the same row.
-func (p *Publish) settle(ctx context.Context, a accepted.Accepted, c commit.Commit) (accepted.Accepted, bool, error) {
+// commitUntilKnown sends the commit until its outcome is known. After a lost
+// answer it reads the row. Our hash under our version means that the commit
+// took effect, even if other versions have followed; another hash under our
+// version means that it never will. An unchanged row proves nothing, because
+// the commit may still be in flight. The same commit is then sent again: its
+// condition lets at most one of the copies take effect, and each copy would
+// leave the same row.
+func (p *Publish) commitUntilKnown(ctx context.Context, a accepted.Accepted, c commit.Commit) (accepted.Accepted, bool, error) {
 	var cause error
-	for i := range settleTries {
+	for i := range commitAttempts {
 		if i > 0 {
 			select {
 			case <-ctx.Done():
 				return a, false, errors.Wrap(cause, "the outcome of the change is unknown")
-			case <-p.Clock.After(settlePause):
+			case <-p.Clock.After(commitRetryDelay):
 			}
 		}
 		k, err := p.Platform.Commit(ctx, c)
@@ -107,7 +108,7 @@
 		case n.Version > a.Version:
 			return n, false, errors.New("the outcome of the change is unknown: too many others followed")
 		case err == nil:
-			// The row stands where we left it, so another condition failed.
+			// The row is unchanged, so another condition failed.
 			return n, false, nil
 		}
 		cause = err
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin stands in for the users' platform: an HTTP server with a
-// transactional table, an object store and a lagging list of hosts, all in
-// memory. It is for the demo and for tests, never for production.
+// Package standin simulates the users' platform: an HTTP server with a
+// transactional table, an object store and a delayed list of hosts, all in
+// memory. It is for the demo and for tests, not for production.
 package standin
 
 import (
@@ -21,53 +21,54 @@
 )
 
 const (
-	maxBytes   = 256 << 20
-	listExpiry = 10 * time.Second
+	maxBodyBytes       = 256 << 20
+	announcementExpiry = 10 * time.Second
 )
 
-// Standin is the handler of the stand-in.
+// Standin is the HTTP handler of the simulated platform.
 type Standin struct {
-	// Clock ages the host list.
+	// Clock measures the age of the entries in the host list.
 	Clock clockwork.Clock
-	// Table holds the rows.
+	// Table stores the rows.
 	Table *table.Table
 
-	mu      sync.Mutex
-	knobs   knobs.Knobs
-	objects map[string][]byte
-	hosts   map[string]announced
-	shown   []member.Member
-	shownAt time.Time
+	mu          sync.Mutex
+	knobs       knobs.Knobs
+	objects     map[string][]byte
+	hosts       map[string]announcement
+	listedHosts []member.Member
+	listedAt    time.Time
 }
 
-type announced struct {
+// announcement is the last announcement of a host and its time.
+type announcement struct {
 	member member.Member
 	at     time.Time
 }
 
-// Set changes the faults that are played.
+// Set replaces the simulated faults.
 func (s *Standin) Set(k knobs.Knobs) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.knobs = k
 }
 
-// ServeHTTP serves one call.
+// ServeHTTP handles one call.
 func (s *Standin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
 	if r.URL.Path == "/knobs" {
-		s.knob(w, b)
+		s.setKnobs(w, b)
 		return
 	}
 	s.mu.Lock()
 	k := s.knobs
 	s.mu.Unlock()
 	if k.Delay > 0 {
-		// A caller that gives up does not end the wait: a slow write takes
-		// effect when nobody expects it any more.
+		// The end of the caller's request does not end the delay: a slow write
+		// takes effect after the caller has given up.
 		s.Clock.Sleep(k.Delay)
 	}
 	if k.Outage {
@@ -85,9 +86,9 @@
 	case r.URL.Path == "/commit":
 		s.commit(w, b)
 	case strings.HasPrefix(r.URL.Path, "/objects/"):
-		s.object(w, r, b)
+		s.serveObject(w, r, b)
 	case r.URL.Path == "/hosts" && r.Method == http.MethodGet:
-		reply(w, s.list())
+		reply(w, s.listHosts())
 	case r.URL.Path == "/hosts":
 		s.announce(w, b)
 	default:
@@ -95,7 +96,7 @@
 	}
 }
 
-func (s *Standin) knob(w http.ResponseWriter, b []byte) {
+func (s *Standin) setKnobs(w http.ResponseWriter, b []byte) {
 	var k knobs.Knobs
 	if err := codec.Unmarshal(b, &k); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -110,19 +111,18 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if s.spend(&s.knobs.LoseCommits) {
+	if s.consume(&s.knobs.LoseCommits) {
 		panic(http.ErrAbortHandler)
 	}
 	ok := s.Table.Commit(c)
-	if s.spend(&s.knobs.LoseAnswers) {
+	if s.consume(&s.knobs.LoseAnswers) {
 		panic(http.ErrAbortHandler)
 	}
 	reply(w, ok)
 }
 
-// spend takes one from a counter of the knobs and reports whether there was
-// one.
-func (s *Standin) spend(n *int) bool {
+// consume decrements a fault counter and reports whether it was above zero.
+func (s *Standin) consume(n *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if *n == 0 {
@@ -132,7 +132,7 @@
 	return true
 }
 
-func (s *Standin) object(w http.ResponseWriter, r *http.Request, b []byte) {
+func (s *Standin) serveObject(w http.ResponseWriter, r *http.Request, b []byte) {
 	n := strings.TrimPrefix(r.URL.Path, "/objects/")
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,29 +160,31 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.hosts == nil {
-		s.hosts = make(map[string]announced)
+		s.hosts = make(map[string]announcement)
 	}
-	s.hosts[m.Name] = announced{member: m, at: s.Clock.Now()}
+	s.hosts[m.Name] = announcement{member: m, at: s.Clock.Now()}
 }
 
-func (s *Standin) list() []member.Member {
+// listHosts returns the hosts announced recently. With ListLag set, it returns
+// an earlier result until that result is older than ListLag.
+func (s *Standin) listHosts() []member.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.Clock.Now()
-	if s.knobs.ListLag > 0 && n.Sub(s.shownAt) < s.knobs.ListLag {
-		return s.shown
+	if s.knobs.ListLag > 0 && n.Sub(s.listedAt) < s.knobs.ListLag {
+		return s.listedHosts
 	}
-	s.shown = []member.Member{}
-	s.shownAt = n
+	s.listedHosts = []member.Member{}
+	s.listedAt = n
 	for k, h := range s.hosts {
-		if n.Sub(h.at) > listExpiry {
+		if n.Sub(h.at) > announcementExpiry {
 			delete(s.hosts, k)
 			continue
 		}
-		s.shown = append(s.shown, h.member)
+		s.listedHosts = append(s.listedHosts, h.member)
 	}
-	sort.Slice(s.shown, func(i, j int) bool { return s.shown[i].Name < s.shown[j].Name })
-	return s.shown
+	sort.Slice(s.listedHosts, func(i, j int) bool { return s.listedHosts[i].Name < s.listedHosts[j].Name })
+	return s.listedHosts
 }
 
 func reply(w http.ResponseWriter, v any) {
--- a/table/table.go
+++ b/table/table.go
@@ -1,4 +1,4 @@
-// Package table is a transactional table in memory.
+// Package table implements a transactional table in memory.
 package table
 
 import (
@@ -10,7 +10,7 @@
 	"celeryreach.example/celeryreach/row"
 )
 
-// Table stands in for the platform's table service.
+// Table simulates the platform's table service.
 type Table struct {
 	mu     sync.Mutex
 	rows   map[string]row.Row
@@ -18,7 +18,7 @@
 	reads  uint64
 }
 
-// Read returns a row; an absent one has Version zero.
+// Read returns a row; the Version of an absent row is zero.
 func (t *Table) Read(key string) row.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -45,7 +45,8 @@
 	return r
 }
 
-// Commit applies a transaction and reports whether its expectations held.
+// Commit applies a transaction and reports whether its expected versions
+// matched.
 func (t *Table) Commit(c commit.Commit) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -1,5 +1,5 @@
-// Package ticket hands out ids for non-idempotent requests that one process
-// may run, from its memory.
+// Package ticket issues ids for non-idempotent requests that only the issuing
+// process may run. It keeps their state in memory.
 package ticket
 
 import (
@@ -23,50 +23,53 @@
 
 const (
 	prefix   = "ticket:"
-	parts    = 5
+	idParts  = 5
 	macBytes = 8
-	// fieldBytes is about what a header field takes besides its text.
-	fieldBytes = 64
+	// fieldOverheadBytes approximates the memory of a header field beyond its
+	// text.
+	fieldOverheadBytes = 64
 )
 
-// Ticket is the memory of one process. An id names host, incarnation and
-// sequence number, as producer id, epoch and sequence do in "Exactly-Once
-// Semantics: Idempotent Producers, Transactions, and the Read-Process-Write
-// Loop"; a process that is replaced takes the right
-// to run its tickets with it, so no store is asked.
+// Ticket issues tickets and holds their state for one process. An id names
+// host, incarnation and sequence number, as producer id, epoch and sequence do
+// in "Exactly-Once Semantics: Idempotent Producers, Transactions, and the
+// Read-Process-Write Loop". Tickets cannot be run after their process has been
+// replaced, so no store is needed.
 type Ticket struct {
-	// Clock ages the tickets.
+	// Clock measures the age of tickets.
 	Clock clockwork.Clock
 	// Host is the name of this host.
 	Host string
 	// Incarnation is the incarnation of this host.
 	Incarnation uint64
-	// Find returns the caller address of a process that still runs.
+	// Find returns the caller address of a process that is still running.
 	Find func(host string, incarnation uint64) (address string, ok bool)
-	// Lifetime is how long a ticket may be used, and its answer given again.
+	// Lifetime is how long a ticket may be used and its answer replayed.
 	Lifetime time.Duration
-	// Bytes is how much of the answers is kept. Later ones are not kept; their
-	// tickets stay used.
+	// Bytes limits the memory for recorded answers. Answers beyond it are not
+	// recorded, but their tickets still count as used.
 	Bytes int
-	// Limit is the greatest number of used tickets in memory.
+	// Limit is the maximum number of used tickets in memory.
 	Limit int
 
-	mu     sync.Mutex
-	secret []byte
-	next   uint64
-	low    uint64
-	marks  []mark
-	used   map[uint64]*use
-	kept   int
+	mu           sync.Mutex
+	secret       []byte
+	next         uint64
+	expiredBelow uint64 // tickets with a lower sequence number have expired
+	checkpoints  []checkpoint
+	claims       map[uint64]*claim
+	keptBytes    int
 }
 
-// mark is the next sequence number at a moment.
-type mark struct {
+// checkpoint is the next sequence number at a point in time.
+type checkpoint struct {
 	at   time.Time
 	next uint64
 }
 
-type use struct {
+// claim is the use of a ticket by an attempt. Its record is final once done is
+// closed.
+type claim struct {
 	digest string
 	record record.Record
 	done   chan struct{}
@@ -81,22 +84,22 @@
 func (t *Ticket) Mint(account string, n int) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.age()
+	t.expire()
 	r := make([]string, n)
 	for i := range r {
-		r[i] = t.name(account, t.next)
+		r[i] = t.format(account, t.next)
 		t.next++
 	}
 	return r
 }
 
-// Begin claims a ticket. The attempt may run only if the returned outcome is
-// empty, and must then be ended with End; an Answered outcome comes with the
-// record whose answer is to be given again.
+// Begin claims a ticket. If the returned outcome is empty, the attempt may run
+// and must then be ended with End. If the outcome is Answered, the returned
+// record holds the answer to replay.
 func (t *Ticket) Begin(ctx context.Context, account, id, attempt, digest string) (record.Record, outcome.Outcome) {
 	r := record.Record{Attempt: attempt, Host: t.Host, Incarnation: t.Incarnation, Digest: digest, State: record.Running}
 	for {
-		u, k, o := t.enter(account, id, r)
+		u, k, o := t.acquire(account, id, r)
 		if u == nil || k {
 			return r, o
 		}
@@ -114,122 +117,124 @@
 	}
 }
 
-// End keeps how an attempt that Begin let run has ended.
+// End records the result of an attempt that Begin permitted to run.
 func (t *Ticket) End(_, id string, r record.Record) {
 	n, _ := sequence(id)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.used[n]
+	u := t.claims[n]
 	if u == nil || u.record.Attempt != r.Attempt {
-		panic("ticket: End of an attempt that does not run")
+		panic("ticket: End called for an attempt that is not running")
 	}
-	if r.State == record.Void || n < t.low {
-		delete(t.used, n)
+	if r.State == record.Void || n < t.expiredBelow {
+		delete(t.claims, n)
 		u.record = r
 		close(u.done)
 		return
 	}
-	if t.kept+size(r) > t.Bytes {
+	if t.keptBytes+answerSize(r) > t.Bytes {
 		r.State = record.Large
 		r.Body = nil
 		r.Header = nil
 	}
-	t.kept += size(r)
+	t.keptBytes += answerSize(r)
 	u.record = r
 	close(u.done)
 }
 
-// enter returns the use of a ticket, a new one if there is none, or the
-// outcome of a ticket that this process cannot run.
-func (t *Ticket) enter(account, id string, r record.Record) (*use, bool, outcome.Outcome) {
+// acquire returns the claim on a ticket, and true if it created that claim. For
+// a ticket that this process cannot run, the claim is nil and the outcome is
+// set.
+func (t *Ticket) acquire(account, id string, r record.Record) (*claim, bool, outcome.Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.age()
-	n, o := t.check(account, id)
+	t.expire()
+	n, o := t.validate(account, id)
 	if o.Outcome != "" {
 		return nil, false, o
 	}
-	if u := t.used[n]; u != nil {
+	if u := t.claims[n]; u != nil {
 		return u, false, outcome.Outcome{}
 	}
-	if len(t.used) >= t.Limit {
+	if len(t.claims) >= t.Limit {
 		return nil, false, outcome.Outcome{
 			Outcome: outcome.NoCapacity, Ran: outcome.RanNo,
 			Message: "too many tickets are in use", RetryAfter: time.Second,
 		}
 	}
-	u := &use{digest: r.Digest, record: r, done: make(chan struct{})}
-	if t.used == nil {
-		t.used = make(map[uint64]*use)
+	u := &claim{digest: r.Digest, record: r, done: make(chan struct{})}
+	if t.claims == nil {
+		t.claims = make(map[uint64]*claim)
 	}
-	t.used[n] = u
+	t.claims[n] = u
 	return u, true, outcome.Outcome{}
 }
 
-// check returns the sequence number of a ticket that this process handed out
-// to the account and still remembers.
-func (t *Ticket) check(account, id string) (uint64, outcome.Outcome) {
+// validate returns the sequence number of a ticket that this process issued to
+// the account and that has not expired.
+func (t *Ticket) validate(account, id string) (uint64, outcome.Outcome) {
 	n, ok := sequence(id)
 	p := strings.Split(id, ":")
 	if !ok {
-		return 0, outcome.Outcome{Outcome: outcome.BadRequest, Ran: outcome.RanNo, Message: "the id is no ticket"}
+		return 0, outcome.Outcome{Outcome: outcome.BadRequest, Ran: outcome.RanNo, Message: "the id is not a valid ticket"}
 	}
 	if p[1] != t.Host || p[2] != strconv.FormatUint(t.Incarnation, 36) {
-		return 0, t.elsewhere(p)
+		return 0, t.foreignOutcome(p)
 	}
-	if n >= t.next || !hmac.Equal([]byte(id), []byte(t.name(account, n))) {
-		return 0, outcome.Outcome{Outcome: outcome.BadRequest, Ran: outcome.RanNo, Message: "the ticket was not given to this account"}
+	if n >= t.next || !hmac.Equal([]byte(id), []byte(t.format(account, n))) {
+		return 0, outcome.Outcome{Outcome: outcome.BadRequest, Ran: outcome.RanNo, Message: "the ticket was not issued to this account"}
 	}
-	if n < t.low {
-		return 0, outcome.Outcome{Outcome: outcome.OutcomeUnknown, Ran: outcome.RanUnknown, Message: "the ticket has expired; it is not run any more"}
+	if n < t.expiredBelow {
+		return 0, outcome.Outcome{Outcome: outcome.OutcomeUnknown, Ran: outcome.RanUnknown, Message: "the ticket has expired; it is never run again"}
 	}
 	return n, outcome.Outcome{}
 }
 
-// elsewhere is the outcome of another process's ticket.
-func (t *Ticket) elsewhere(p []string) outcome.Outcome {
+// foreignOutcome returns the outcome for a ticket that another process issued.
+func (t *Ticket) foreignOutcome(p []string) outcome.Outcome {
 	i, err := strconv.ParseUint(p[2], 36, 64)
 	if a, ok := t.Find(p[1], i); ok && err == nil {
 		return outcome.Outcome{
 			Outcome: outcome.TicketElsewhere, Ran: outcome.RanUnknown,
-			Message: "only the host that handed out the ticket can run it", EntryHosts: []string{a},
+			Message: "only the host that issued the ticket can run it", EntryHosts: []string{a},
 		}
 	}
 	return outcome.Outcome{
 		Outcome: outcome.OutcomeUnknown, Ran: outcome.RanUnknown,
-		Message: "the host that handed out the ticket is gone; the ticket is never run again",
+		Message: "the host that issued the ticket no longer runs; the ticket is never run again",
 	}
 }
 
-// age forgets the uses of old tickets. Their numbers fall below low, and a
-// number below low never runs, so forgetting cannot run a ticket twice.
-func (t *Ticket) age() {
+// expire removes the claims on expired tickets. Their sequence numbers are
+// below expiredBelow, and such a ticket is never run, so removing its claim
+// cannot make it run twice.
+func (t *Ticket) expire() {
 	n := t.Clock.Now()
-	if len(t.marks) == 0 || n.Sub(t.marks[len(t.marks)-1].at) >= t.Lifetime/16 {
-		t.marks = append(t.marks, mark{at: n, next: t.next})
+	if len(t.checkpoints) == 0 || n.Sub(t.checkpoints[len(t.checkpoints)-1].at) >= t.Lifetime/16 {
+		t.checkpoints = append(t.checkpoints, checkpoint{at: n, next: t.next})
 	}
-	l := t.low
-	for len(t.marks) > 0 && n.Sub(t.marks[0].at) >= t.Lifetime {
-		l = t.marks[0].next
-		t.marks = t.marks[1:]
+	l := t.expiredBelow
+	for len(t.checkpoints) > 0 && n.Sub(t.checkpoints[0].at) >= t.Lifetime {
+		l = t.checkpoints[0].next
+		t.checkpoints = t.checkpoints[1:]
 	}
-	for ; t.low < l; t.low++ {
-		u := t.used[t.low]
+	for ; t.expiredBelow < l; t.expiredBelow++ {
+		u := t.claims[t.expiredBelow]
 		if u == nil {
 			continue
 		}
 		select {
 		case <-u.done:
-			t.kept -= size(u.record)
-			delete(t.used, t.low)
-		default: // it runs; End needs it, and its number is below low anyway
+			t.keptBytes -= answerSize(u.record)
+			delete(t.claims, t.expiredBelow)
+		default: // still running: End needs the claim and removes it
 		}
 	}
 }
 
-// name is the ticket of a sequence number. The code at its end binds it to the
-// account, so that nobody uses up another account's tickets by guessing.
-func (t *Ticket) name(account string, n uint64) string {
+// format returns the ticket with a sequence number. The code at its end binds
+// the ticket to the account, so that other accounts cannot guess and use it up.
+func (t *Ticket) format(account string, n uint64) string {
 	if t.secret == nil {
 		t.secret = []byte(rand.Text())
 	}
@@ -239,11 +244,11 @@
 		strconv.FormatUint(n, 36), hex.EncodeToString(m.Sum(nil)[:macBytes]))
 }
 
-// size is about what the answer of a record takes in memory.
-func size(r record.Record) int {
+// answerSize approximates the memory that the answer of a record takes.
+func answerSize(r record.Record) int {
 	n := len(r.Body)
 	for k, v := range r.Header {
-		n += len(k) + fieldBytes
+		n += len(k) + fieldOverheadBytes
 		for _, w := range v {
 			n += len(w)
 		}
@@ -251,9 +256,10 @@
 	return n
 }
 
+// sequence parses the sequence number of a ticket.
 func sequence(id string) (uint64, bool) {
 	p := strings.Split(id, ":")
-	if len(p) != parts {
+	if len(p) != idParts {
 		return 0, false
 	}
 	n, err := strconv.ParseUint(p[3], 36, 64)
--- a/ticket/ticket_test.go
+++ b/ticket/ticket_test.go
@@ -20,10 +20,10 @@
 	}
 }
 
-// A phone that was off for an hour sends the deposit again with its old ticket.
-// The host has forgotten how it ended, and must not run it: whatever is used,
-// ended and forgotten in between, a ticket runs at most once, and void ones may
-// run again.
+// TestTicketRunsOnce guards against running a ticket again after its claim has
+// been removed, for example when a client that was offline for an hour repeats
+// a request. With any order of claims, ends and expiries a ticket runs at most
+// once, except that a void one may run again.
 func TestTicketRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clockwork.NewFakeClock()
@@ -41,7 +41,7 @@
 				}
 				id := rapid.SampledFrom(ids).Draw(t, "id")
 				if _, ok := open[id]; ok {
-					continue // it would wait for the end
+					continue // Begin would wait for the running attempt
 				}
 				r, o := x.Begin(t.Context(), "camp", id, "attempt", "digest")
 				if o.Outcome == "" {
@@ -67,8 +67,8 @@
 	})
 }
 
-// The answers of many deposits do not fit into memory. What ran stays known as
-// run; only its answer is not given again.
+// TestAnswersBeyondMemory checks that tickets still count as run when their
+// answers exceed the memory limit; only the answer is not replayed.
 func TestAnswersBeyondMemory(t *testing.T) {
 	x := newTicket(clockwork.NewFakeClock())
 	for i, id := range x.Mint("camp", 3) {
