--- a/planner/planner.go
+++ b/planner/planner.go
@@ -1,4 +1,4 @@
-// Package planner moves callers between regions in capped steps.
+// Package planner moves callers between regions in steps of limited size.
 package planner
 
 import (
@@ -18,16 +18,16 @@
 	"celeryreach.example/celeryreach/route"
 )
 
-// Planner makes plans while it holds the lease. Run and Tick are called from
-// one goroutine.
+// Planner makes plans while it holds the planner lease. Run and Tick are called
+// from one goroutine.
 type Planner struct {
 	// Clock paces the steps.
 	Clock clockwork.Clock
 	// Log receives one line for each plan.
 	Log *log.Logger
-	// Interval is the time between two looks.
+	// Interval is the time between two ticks.
 	Interval time.Duration
-	// Lag is how far measurements may be behind.
+	// Lag is the maximum delay of measurements.
 	Lag time.Duration
 	// Preset returns the policy in force.
 	Preset func() preset.Preset
@@ -39,43 +39,46 @@
 	Observe func() []observation.Observation
 	// Current returns the plan in force, nil before the first.
 	Current func() *plan.Plan
-	// Quiet reports whether nothing else has moved callers lately; nil means
-	// that nothing else does.
+	// Quiet reports whether nothing else has moved callers recently; nil
+	// means that nothing else moves callers.
 	Quiet func() bool
-	// Held returns the epoch of the planner's lease, if it is held.
+	// Held returns the epoch of the planner lease and whether this planner
+	// holds it.
 	Held func() (epoch uint64, ok bool)
 	// Publish makes p the successor of version from. It reports false when
-	// another plan came in between or the lease was lost.
+	// another plan was published in between or the lease was lost.
 	Publish func(ctx context.Context, from uint64, p *plan.Plan) (bool, error)
 
-	epoch uint64
-	since time.Time
-	steps map[string]*step
+	epoch      uint64
+	leaseStart time.Time
+	states     map[string]*shiftState
 }
 
-// step is the last change for one service or failure domain.
-type step struct {
-	at       time.Time
-	from, to string
-	routes   []route.Route        // as they were before the step
-	before   map[string]baseline  // by destination
-	good     int                  // steps to one destination in a row
-	failed   map[string]time.Time // destinations that were turned back from
+// shiftState describes the last step for one service, or the last change of one
+// failure domain's weight.
+type shiftState struct {
+	at             time.Time
+	from, to       string
+	previousRoutes []route.Route        // before the last step
+	baselines      map[string]baseline  // by destination region
+	consecutive    int                  // number of consecutive steps to the same destination, less one
+	failedAt       map[string]time.Time // by destination region whose step was reverted
 }
 
-// baseline is a destination before the steps to it, and when the last was.
+// baseline is the observation of a destination before the steps to it, and the
+// time of the last step.
 type baseline struct {
-	was observation.Observation
-	at  time.Time
+	observed observation.Observation
+	lastStep time.Time
 }
 
-// move is a number of points of the route of one home region.
+// move is a number of points to move on the route of one home region.
 type move struct {
 	home   string
 	points int
 }
 
-// Run plans until ctx ends.
+// Run calls Tick at each Interval until ctx ends.
 func (p *Planner) Run(ctx context.Context) error {
 	for {
 		select {
@@ -89,9 +92,10 @@
 	}
 }
 
-// Tick looks once and publishes a plan if something has to change. A planner
-// that has just got the lease does not know when its predecessor made the last
-// step, so it waits as if that had been now.
+// Tick observes the regions once and publishes a plan if callers have to be
+// moved. A planner that has just acquired the lease does not know when its
+// predecessor took the last step, so it waits as if that step had been taken
+// now.
 func (p *Planner) Tick(ctx context.Context) error {
 	e, ok := p.Held()
 	if !ok {
@@ -99,23 +103,23 @@
 		return nil
 	}
 	n := p.Clock.Now()
-	if e != p.epoch || p.steps == nil {
+	if e != p.epoch || p.states == nil {
 		p.epoch = e
-		p.since = n
-		p.steps = make(map[string]*step)
+		p.leaseStart = n
+		p.states = make(map[string]*shiftState)
 	}
 	c := p.Current()
 	if c == nil {
 		c = &plan.Plan{}
 	}
 	o := p.Observe()
-	k := p.copySteps()
+	k := p.copyStates()
 	m := *c
 	m.Reason = ""
-	for _, s := range services(o) {
-		m = p.service(m, newView(p, s, o))
+	for _, s := range serviceNames(o) {
+		m = p.planService(m, newServiceView(p, s, o))
 	}
-	m = p.domains(m, o)
+	m = p.planDomains(m, o)
 	if m.Reason == "" {
 		return nil
 	}
@@ -126,38 +130,39 @@
 		p.Log.Info("plan published", "Version", m.Version, "Epoch", e, "Reason", m.Reason)
 	}
 	if !ok && err == nil {
-		// It is certain that nothing was moved. After an error it is not, and
-		// the steps count.
-		p.steps = k
+		// The publication was refused, so no callers were moved. After
+		// an error the plan may have been published, and the steps
+		// count.
+		p.states = k
 	}
 	return err
 }
 
-func (p *Planner) copySteps() map[string]*step {
-	r := make(map[string]*step, len(p.steps))
-	for n, s := range p.steps {
+func (p *Planner) copyStates() map[string]*shiftState {
+	r := make(map[string]*shiftState, len(p.states))
+	for n, s := range p.states {
 		c := *s
-		c.before = maps.Clone(s.before)
-		c.failed = maps.Clone(s.failed)
+		c.baselines = maps.Clone(s.baselines)
+		c.failedAt = maps.Clone(s.failedAt)
 		r[n] = &c
 	}
 	return r
 }
 
-// service makes at most one step for a service. What was attempted counts as a
-// step even if its publication fails, since it may have taken effect.
-func (p *Planner) service(m plan.Plan, v *view) plan.Plan {
-	s := p.step(v.service)
+// planService adds at most one step for a service to the plan. An attempted
+// step counts even if its publication fails, since it may have taken effect.
+func (p *Planner) planService(m plan.Plan, v *serviceView) plan.Plan {
+	s := p.state(v.service)
 	if p.Quiet != nil && !p.Quiet() {
 		return m
 	}
-	if n, ok := p.turnBack(m, v, s); ok {
+	if n, ok := p.revertLastStep(m, v, s); ok {
 		return n
 	}
 	if !p.due(s) {
 		return m
 	}
-	c, ok := v.choose(&m, s)
+	c, ok := v.nextShift(&m, s)
 	if !ok {
 		return m
 	}
@@ -165,87 +170,89 @@
 	if len(k) == 0 {
 		return m
 	}
-	s.note(&m, v, c, k)
-	return apply(m, v.service, c, k)
+	s.record(&m, v, c, k)
+	return applyMoves(m, v.service, c, k)
 }
 
-// note remembers a step and what it has to be compared with. Steps to one
-// destination are compared with the time before the first of them: each could
-// otherwise make the answers a little slower unnoticed.
-func (s *step) note(m *plan.Plan, v *view, c choice, k []move) {
-	if s.to == c.to && len(s.routes) > 0 {
-		s.good++
+// record stores a step and the baseline of its destination. Successive steps to
+// one destination share the baseline from before the first of them. Otherwise
+// each step could make answers slightly slower without being noticed.
+func (s *shiftState) record(m *plan.Plan, v *serviceView, c shift, k []move) {
+	if s.to == c.to && len(s.previousRoutes) > 0 {
+		s.consecutive++
 	} else {
-		s.good = 0
+		s.consecutive = 0
 	}
-	if s.before == nil {
-		s.before = make(map[string]baseline)
+	if s.baselines == nil {
+		s.baselines = make(map[string]baseline)
 	}
-	b, ok := s.before[c.to]
-	if !ok || v.now.Sub(b.at) >= forgetPaces*v.pace {
-		b.was = v.regions[c.to]
-		if b.was.Latency == 0 {
-			b.was.Latency = v.regions[c.from].Latency
+	b, ok := s.baselines[c.to]
+	if !ok || v.now.Sub(b.lastStep) >= baselineIntervals*v.stepInterval {
+		b.observed = v.regions[c.to]
+		if b.observed.Latency == 0 {
+			b.observed.Latency = v.regions[c.from].Latency
 		}
 	}
-	b.at = v.now
-	s.before[c.to] = b
+	b.lastStep = v.now
+	s.baselines[c.to] = b
 	s.at = v.now
 	s.from = c.from
 	s.to = c.to
-	s.routes = nil
+	s.previousRoutes = nil
 	for _, x := range k {
-		s.routes = append(s.routes, m.Route(v.service, x.home))
+		s.previousRoutes = append(s.previousRoutes, m.Route(v.service, x.home))
 	}
 }
 
-// turnBack undoes the last step when its destination fails. It does not wait
-// for ShiftInterval: the callers that move are those that the step has just
-// moved, so that within the interval no others have.
-func (p *Planner) turnBack(m plan.Plan, v *view, s *step) (plan.Plan, bool) {
+// revertLastStep undoes the last step when its destination fails. It does not
+// wait for ShiftInterval: it moves only the callers that the step has just
+// moved, so no others have moved within the interval.
+func (p *Planner) revertLastStep(m plan.Plan, v *serviceView, s *shiftState) (plan.Plan, bool) {
 	d := v.regions[s.to]
-	if len(s.routes) == 0 || v.now.Sub(s.at) < p.Lag || !fails(d, s.before[s.to].was) {
+	if len(s.previousRoutes) == 0 || v.now.Sub(s.at) < p.Lag || !isFailing(d, s.baselines[s.to].observed) {
 		return m, false
 	}
 	n := m
-	for _, r := range s.routes {
+	for _, r := range s.previousRoutes {
 		n = *n.With(r)
 	}
-	n.Reason = because(m.Reason, fmt.Sprintf("%s %s back to %s: the destination fails", v.service, s.to, s.from))
-	if s.failed == nil {
-		s.failed = make(map[string]time.Time)
+	n.Reason = joinReasons(m.Reason, fmt.Sprintf("%s %s back to %s: the destination fails", v.service, s.to, s.from))
+	if s.failedAt == nil {
+		s.failedAt = make(map[string]time.Time)
 	}
-	s.failed[s.to] = v.now
-	s.routes = nil
-	s.good = 0
+	s.failedAt[s.to] = v.now
+	s.previousRoutes = nil
+	s.consecutive = 0
 	s.at = v.now
 	return n, true
 }
 
-func (p *Planner) step(name string) *step {
-	s := p.steps[name]
+func (p *Planner) state(name string) *shiftState {
+	s := p.states[name]
 	if s == nil {
-		s = &step{at: p.since}
-		p.steps[name] = s
+		s = &shiftState{at: p.leaseStart}
+		p.states[name] = s
 	}
 	return s
 }
 
 // due reports whether the last step has shown its effect: callers keep a
-// look-up answer for LookupTTL, and what they do is measured Lag later.
-func (p *Planner) due(s *step) bool {
-	return p.Clock.Since(s.at) >= p.pace()
+// look-up answer for LookupTTL, and their requests are measured Lag later.
+func (p *Planner) due(s *shiftState) bool {
+	return p.Clock.Since(s.at) >= p.stepInterval()
 }
 
-func (p *Planner) pace() time.Duration {
+// stepInterval returns the least time between two steps.
+func (p *Planner) stepInterval() time.Duration {
 	r := p.Preset()
 	return max(r.ShiftInterval, r.LookupTTL+p.Lag)
 }
 
-// domains moves the weights of failure domains that are drained or come back.
-func (p *Planner) domains(m plan.Plan, o []observation.Observation) plan.Plan {
+// planDomains changes the weights of failure domains that are drained or
+// returning to service.
+func (p *Planner) planDomains(m plan.Plan, o []observation.Observation) plan.Plan {
 	for _, d := range p.Domains() {
-		s := p.step("domain " + d.Name)
+		s := p.state("domain " + d.Name)
 		w := m.Weight(d.Name)
 		t := 1.0
 		if d.Draining {
@@ -254,50 +261,52 @@
 		if w == t || !p.due(s) {
 			continue
 		}
-		// A failure domain has at most its region's callers, so that a change
-		// of weight moves at most cap of the service's.
-		k := p.Preset().ShiftCap / max(share(&m, o, d.Region), p.Preset().ShiftCap)
+		// A failure domain serves at most all callers of its region, so
+		// changing its weight by k moves at most ShiftCap of a
+		// service's callers.
+		k := p.Preset().ShiftCap / max(maxShare(&m, o, d.Region), p.Preset().ShiftCap)
 		s.at = p.Clock.Now()
 		r := m.Reason
 		m = *m.WithWeight(d.Name, max(t, w-k))
 		if t > w {
 			m = *m.WithWeight(d.Name, min(t, w+k))
 		}
-		m.Reason = because(r, fmt.Sprintf("weight of %s is %.2f", d.Name, m.Weight(d.Name)))
+		m.Reason = joinReasons(r, fmt.Sprintf("weight of %s is %.2f", d.Name, m.Weight(d.Name)))
 	}
 	return m
 }
 
-// share returns the greatest part of any service's callers that a region has.
-func share(m *plan.Plan, o []observation.Observation, region string) float64 {
+// maxShare returns the largest fraction of any service's callers that is
+// steered to a region.
+func maxShare(m *plan.Plan, o []observation.Observation, region string) float64 {
 	h := 0.0
-	for _, s := range services(o) {
-		v := &view{service: s, regions: make(map[string]observation.Observation)}
+	for _, s := range serviceNames(o) {
+		v := &serviceView{service: s, regions: make(map[string]observation.Observation)}
 		v.fill(o)
 		h = max(h, v.share(m, region))
 	}
 	return h
 }
 
-func apply(m plan.Plan, service string, c choice, moves []move) plan.Plan {
+func applyMoves(m plan.Plan, service string, c shift, moves []move) plan.Plan {
 	r := m.Reason
 	t := 0
 	for _, k := range moves {
 		m = *m.With(m.Route(service, k.home).Shift(c.from, c.to, k.points))
 		t += k.points
 	}
-	m.Reason = because(r, fmt.Sprintf("%s %s to %s, %d points: %s", service, c.from, c.to, t, c.reason))
+	m.Reason = joinReasons(r, fmt.Sprintf("%s %s to %s, %d points: %s", service, c.from, c.to, t, c.reason))
 	return m
 }
 
-func because(a, b string) string {
+func joinReasons(a, b string) string {
 	if a == "" {
 		return b
 	}
 	return a + "; " + b
 }
 
-func services(o []observation.Observation) []string {
+func serviceNames(o []observation.Observation) []string {
 	h := make(map[string]bool)
 	var r []string
 	for _, v := range o {
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -30,69 +30,70 @@
 	tick    = 5 * time.Second
 )
 
-// place is one region of a simulation.
-type place struct {
+// simulatedRegion is one region of a simulation.
+type simulatedRegion struct {
 	// Name is the region.
 	Name string
 	// Slots is its capacity.
 	Slots int
-	// Demand is how many requests its callers have running at once.
+	// Demand is the number of requests that its callers run at once.
 	Demand float64
 }
 
-// event changes a region at some time.
+// event changes the state of a region.
 type event struct {
 	// At is the time since the start.
 	At time.Duration
 	// Region is the region.
 	Region string
-	// Demand, if set, is its callers' new demand.
+	// Demand, if set, is the new demand of its callers.
 	Demand float64 `json:",omitzero"`
-	// Draining and Failing begin with the event and end with the next one.
+	// Draining drains the region until its next event.
 	Draining bool `json:",omitzero"`
-	// Lost begins with the event: no host of the region is heard.
+	// Lost stops all heartbeats of the region until its next event.
 	Lost bool `json:",omitzero"`
-	// Failing makes half of its answers failures.
+	// Failing makes half of the region's answers failures until its next
+	// event.
 	Failing bool `json:",omitzero"`
-	// Cold is the latency of callers that are new to it, while they are few.
+	// Cold is added to the latency of the region until its next event.
 	Cold time.Duration `json:",omitzero"`
 }
 
 // simulation is a set of regions whose callers keep look-up answers for the
-// time to live and whose measurements lag.
+// time to live and whose measurements are delayed.
 type simulation struct {
 	// Regions are the regions.
-	Regions []place
-	// Events happen in order.
+	Regions []simulatedRegion
+	// Events are applied at their times.
 	Events []event
 	// Lag delays every observation.
 	Lag time.Duration
-	// For is how long to run.
+	// For is the length of the simulation.
 	For time.Duration
 
-	clock  *clockwork.FakeClock
-	plan   *plan.Plan
-	carry  map[string]float64 // callers of each home and region, as they are
-	state  map[string]event
-	past   [][]observation.Observation
-	preset preset.Preset
+	clock        *clockwork.FakeClock
+	plan         *plan.Plan
+	callerShares map[string]float64 // fraction of a home region's callers in a region, by both names
+	lastEvents   map[string]event
+	history      [][]observation.Observation
+	preset       preset.Preset
 }
 
 func (s *simulation) start() *planner.Planner {
 	s.clock = clockwork.NewFakeClock()
-	s.carry = make(map[string]float64)
-	s.state = make(map[string]event)
+	s.callerShares = make(map[string]float64)
+	s.lastEvents = make(map[string]event)
 	if s.preset.Name == "" {
 		s.preset = preset.Preset{Name: "Ordinary", ShiftCap: 0.1, ShiftInterval: 30 * time.Second, Headroom: 0.2, LookupTTL: 30 * time.Second}
 	}
 	for _, r := range s.Regions {
-		s.carry[r.Name+r.Name] = 1
+		s.callerShares[r.Name+r.Name] = 1
 	}
 	return &planner.Planner{
 		Clock: s.clock, Log: log.New(io.Discard), Lag: s.Lag, Preset: func() preset.Preset { return s.preset },
 		Draining: func() map[string]bool {
 			m := make(map[string]bool)
-			for k, v := range s.state {
+			for k, v := range s.lastEvents {
 				m[k] = v.Draining
 			}
 			return m
@@ -106,11 +107,12 @@
 	}
 }
 
-// step lets time pass: each caller asks again once in a time to live.
+// step applies the events of a time and advances the clock by one tick. Each
+// caller looks up once in a time to live.
 func (s *simulation) step(at time.Duration) {
 	for _, e := range s.Events {
 		if e.At == at {
-			s.state[e.Region] = e
+			s.lastEvents[e.Region] = e
 			for i := range s.Regions {
 				if s.Regions[i].Name == e.Region && e.Demand > 0 {
 					s.Regions[i].Demand = e.Demand
@@ -122,10 +124,10 @@
 	for _, h := range s.Regions {
 		for _, r := range s.Regions {
 			w := float64(s.plan.Route(service, h.Name).Share(r.Name)) / route.Points
-			s.carry[h.Name+r.Name] += f * (w - s.carry[h.Name+r.Name])
+			s.callerShares[h.Name+r.Name] += f * (w - s.callerShares[h.Name+r.Name])
 		}
 	}
-	s.past = append(s.past, s.measure())
+	s.history = append(s.history, s.measure())
 	s.clock.Advance(tick)
 }
 
@@ -136,11 +138,11 @@
 	}
 	var r []observation.Observation
 	for _, x := range s.Regions {
-		o := observation.Observation{Service: service, Region: x.Name, Alive: !s.state[x.Name].Lost, Slots: x.Slots, Callers: x.Demand / t, Latency: 20 * time.Millisecond}
+		o := observation.Observation{Service: service, Region: x.Name, Alive: !s.lastEvents[x.Name].Lost, Slots: x.Slots, Callers: x.Demand / t, Latency: 20 * time.Millisecond}
 		for _, h := range s.Regions {
-			o.Demand += h.Demand * s.carry[h.Name+x.Name]
+			o.Demand += h.Demand * s.callerShares[h.Name+x.Name]
 		}
-		e := s.state[x.Name]
+		e := s.lastEvents[x.Name]
 		if e.Failing {
 			o.Failures = 0.5
 		}
@@ -151,11 +153,11 @@
 }
 
 func (s *simulation) observe() []observation.Observation {
-	i := len(s.past) - 1 - int(s.Lag/tick)
-	return s.past[max(i, 0)]
+	i := len(s.history) - 1 - int(s.Lag/tick)
+	return s.history[max(i, 0)]
 }
 
-// run returns one line for each change of the plan and one each minute.
+// run returns one line for each new plan and one for each minute.
 func (s *simulation) run(t must.T) string {
 	p := s.start()
 	var b bytes.Buffer
@@ -178,9 +180,9 @@
 	return b.String()
 }
 
-// Each file holds a simulation and its trace: which steps the planner took and
-// how the regions were loaded.
-func TestTraces(t *testing.T) {
+// Each file holds a simulation and its trace: the steps that the planner took
+// and the load of the regions.
+func TestSimulationTraces(t *testing.T) {
 	golden.Play(t, func(t *testing.T, p [][]byte) string {
 		var s simulation
 		must.NoError(t, codec.Unmarshal(p[0], &s))
@@ -188,13 +190,13 @@
 	})
 }
 
-// What callers see if this fails: more of them than the cap meet cold caches
-// at once. For any demand, capacity, drain, failure, cold cache and lag, no
-// more callers than the cap may have another region than at any time within
-// the last ShiftInterval, and each route covers all points.
+// If the planner exceeds the cap, too many callers meet cold caches at once.
+// For any demand, capacity, drain, failure, cold cache and lag, the callers
+// whose region differs from that at any time within the last ShiftInterval do
+// not exceed the cap, and each route covers all points.
 func TestShiftsStayUnderTheirCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := draw(t)
+		s := drawSimulation(t)
 		p := s.start()
 		var h []*plan.Plan
 		for at := time.Duration(0); at < s.For; at += tick {
@@ -202,18 +204,18 @@
 			must.NoError(t, p.Tick(context.Background()))
 			h = append(h, s.plan)
 			for i := max(0, len(h)-int(s.preset.ShiftInterval/tick)); i < len(h); i++ {
-				must.LessEq(t, s.preset.ShiftCap+1e-5, s.moved(h[i], s.plan), must.Sprintf("at %s", at))
+				must.LessEq(t, s.preset.ShiftCap+1e-5, s.movedByPlan(h[i], s.plan), must.Sprintf("at %s", at))
 			}
 		}
 	})
 }
 
-// The same holds for plans and failover together, when regions are lost and
-// come back: a caller counts as moved if its region differs by the plan, or if
-// its region is lost and its turn to leave or to return has come.
+// Plans and failover together do not exceed the cap when regions are lost and
+// recover. A caller counts as moved if the plan changes its region, or if its
+// region is lost and failover moves it out or back.
 func TestPlansAndFailoverStayUnderTheCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := draw(t)
+		s := drawSimulation(t)
 		for i := range s.Events {
 			s.Events[i].Lost = rapid.Bool().Draw(t, "lost")
 		}
@@ -228,25 +230,25 @@
 			f.Planned()
 			return publish(ctx, v, n)
 		}
-		var h []moment
+		var h []steering
 		for at := time.Duration(0); at < s.For; at += tick {
 			s.step(at)
 			must.NoError(t, p.Tick(context.Background()))
 			m := make(map[string]int)
 			for _, r := range s.Regions {
-				f.Tick(service, r.Name, !s.state[r.Name].Lost)
+				f.Tick(service, r.Name, !s.lastEvents[r.Name].Lost)
 				m[r.Name] = f.Moved(service, r.Name)
 			}
-			h = append(h, moment{plan: s.plan, moved: m})
+			h = append(h, steering{plan: s.plan, moved: m})
 			for i := max(0, len(h)-int(s.preset.ShiftInterval/tick)); i < len(h); i++ {
-				must.LessEq(t, s.preset.ShiftCap+1e-5, s.apart(h[i], h[len(h)-1]), must.Sprintf("at %s", at))
+				must.LessEq(t, s.preset.ShiftCap+1e-5, s.movedFraction(h[i], h[len(h)-1]), must.Sprintf("at %s", at))
 			}
 		}
 	})
 }
 
-// moment is where callers go at some time.
-type moment struct {
+// steering is the plan and the failover state at some time.
+type steering struct {
 	plan  *plan.Plan
 	moved map[string]int
 }
@@ -259,8 +261,9 @@
 	return s.plan.Share(service, region, c)
 }
 
-// apart returns the part of the callers that go elsewhere than before.
-func (s *simulation) apart(a, b moment) float64 {
+// movedFraction returns the fraction of callers whose region differs between
+// two times.
+func (s *simulation) movedFraction(a, b steering) float64 {
 	m := 0.0
 	for _, o := range s.measure() {
 		x, y := a.plan.Route(service, o.Region), b.plan.Route(service, o.Region)
@@ -278,7 +281,7 @@
 	return m
 }
 
-func draw(t *rapid.T) *simulation {
+func drawSimulation(t *rapid.T) *simulation {
 	s := &simulation{For: 10 * time.Minute, Lag: time.Duration(rapid.IntRange(0, 6).Draw(t, "lag")) * tick}
 	s.preset = preset.Preset{
 		Name: "Drawn", ShiftCap: rapid.Float64Range(0.01, 0.5).Draw(t, "cap"), Headroom: 0.2,
@@ -286,7 +289,7 @@
 		LookupTTL:     time.Duration(rapid.IntRange(1, 12).Draw(t, "ttl")) * tick,
 	}
 	for _, n := range []string{"abuja", "lagos", "port-harcourt"} {
-		s.Regions = append(s.Regions, place{Name: n, Slots: rapid.IntRange(1, 300).Draw(t, "slots"), Demand: rapid.Float64Range(1, 300).Draw(t, "demand")})
+		s.Regions = append(s.Regions, simulatedRegion{Name: n, Slots: rapid.IntRange(1, 300).Draw(t, "slots"), Demand: rapid.Float64Range(1, 300).Draw(t, "demand")})
 	}
 	for range rapid.IntRange(0, 6).Draw(t, "events") {
 		s.Events = append(s.Events, event{
@@ -298,8 +301,9 @@
 	return s
 }
 
-// moved returns the part of the callers whose region differs between two plans.
-func (s *simulation) moved(a, b *plan.Plan) float64 {
+// movedByPlan returns the fraction of callers whose region differs between two
+// plans.
+func (s *simulation) movedByPlan(a, b *plan.Plan) float64 {
 	m := 0.0
 	for _, o := range s.measure() {
 		x, y := a.Route(service, o.Region), b.Route(service, o.Region)
@@ -314,11 +318,11 @@
 	return m
 }
 
-// Operators drain a failure domain in a region that has half of the callers,
-// and end the drain four minutes later. Its weight falls and rises by a fifth
-// an interval, which is a tenth of all callers, the cap.
+// A failure domain in a region with half of the callers is drained and restored
+// four minutes later. Its weight changes by a fifth per interval, which moves a
+// tenth of all callers, the cap.
 func TestDomainDrainsInSteps(t *testing.T) {
-	s := &simulation{Regions: []place{{Name: "abuja", Slots: 100, Demand: 40}, {Name: "lagos", Slots: 100, Demand: 40}}}
+	s := &simulation{Regions: []simulatedRegion{{Name: "abuja", Slots: 100, Demand: 40}, {Name: "lagos", Slots: 100, Demand: 40}}}
 	p := s.start()
 	d := domain.Domain{Name: "lagos-1", Region: "lagos"}
 	p.Domains = func() []domain.Domain { return []domain.Domain{d} }
--- a/planner/view.go
+++ b/planner/view.go
@@ -11,53 +11,61 @@
 )
 
 const (
-	// slowFactor and slowMargin say when answers have grown slow: a cold cache
-	// shows as latency long before it shows as failures.
-	slowFactor = 2
-	slowMargin = 10 * time.Millisecond
-	// failFraction and failFactor say when a destination fails.
-	failFraction = 0.05
-	failFactor   = 2
-	// returnBelow is the part of the usable slots under which callers return
-	// home. The gap to 1 keeps a load that stays the same from moving callers
-	// out and back for ever.
-	returnBelow = 0.8
-	// firstStep is the part of the cap that the first step to a destination
-	// takes; each good step doubles it.
-	firstStep = 0.25
-	// leastStep is the smallest step worth a plan.
-	leastStep = 0.001
-	// avoidPaces is for how many paces a destination that failed is avoided.
-	avoidPaces = 4
-	// forgetPaces is for how many paces after the last step to a destination
-	// its answers are compared with those before the first.
-	forgetPaces = 16
-	// leastCallers stands in for a home region without measured callers.
-	leastCallers = 0.01
+	// Answers are slow when their latency exceeds slowLatencyFactor times
+	// that before the first step, plus slowLatencyMargin. A cold cache
+	// raises the latency long before it causes failures.
+	slowLatencyFactor = 2
+	slowLatencyMargin = 10 * time.Millisecond
+	// A destination fails when its fraction of failed requests exceeds both
+	// minFailingFraction and failingFactor times the fraction before the
+	// first step.
+	minFailingFraction = 0.05
+	failingFactor      = 2
+	// returnUtilization is the fraction of the usable slots below which
+	// callers return home. The gap to 1 prevents a constant load from
+	// moving callers out and back forever.
+	returnUtilization = 0.8
+	// firstStepFraction is the fraction of ShiftCap that the first step to
+	// a destination may take. Each further step that is not reverted
+	// doubles it.
+	firstStepFraction = 0.25
+	// minStep is the smallest fraction of a service's callers worth a step.
+	minStep = 0.001
+	// avoidIntervals is the number of step intervals for which a
+	// destination that failed is avoided.
+	avoidIntervals = 4
+	// baselineIntervals is the number of step intervals after the last step
+	// to a destination during which its answers are compared with those
+	// before the first step.
+	baselineIntervals = 16
+	// minCallers is the least fraction of callers assumed for a home
+	// region, also if none were measured.
+	minCallers = 0.01
 )
 
-// view is one service as the planner sees it now.
-type view struct {
-	service  string
-	now      time.Time
-	preset   preset.Preset
-	pace     time.Duration
-	draining map[string]bool
-	regions  map[string]observation.Observation
-	names    []string
-	total    float64 // demand of all regions
-}
-
-func newView(p *Planner, service string, o []observation.Observation) *view {
-	v := &view{
-		service: service, now: p.Clock.Now(), preset: p.Preset(), pace: p.pace(), draining: p.Draining(),
+// serviceView is the planner's current view of one service.
+type serviceView struct {
+	service      string
+	now          time.Time
+	preset       preset.Preset
+	stepInterval time.Duration
+	draining     map[string]bool
+	regions      map[string]observation.Observation
+	names        []string
+	total        float64 // demand of all regions
+}
+
+func newServiceView(p *Planner, service string, o []observation.Observation) *serviceView {
+	v := &serviceView{
+		service: service, now: p.Clock.Now(), preset: p.Preset(), stepInterval: p.stepInterval(), draining: p.Draining(),
 		regions: make(map[string]observation.Observation),
 	}
 	v.fill(o)
 	return v
 }
 
-func (v *view) fill(o []observation.Observation) {
+// fill adds the observations of the service.
+func (v *serviceView) fill(o []observation.Observation) {
 	c := 0.0
 	for _, r := range o {
 		if r.Service == v.service {
@@ -73,63 +81,66 @@
 		if c == 0 {
 			r.Callers = 1 / float64(len(v.names))
 		}
-		r.Callers = max(r.Callers, leastCallers)
+		r.Callers = max(r.Callers, minCallers)
 		v.regions[n] = r
 	}
 }
 
-// choice is a step that should be taken.
-type choice struct {
+// shift is a step from one region to another.
+type shift struct {
 	from, to string
-	amount   float64 // of the service's callers
+	amount   float64 // fraction of the service's callers
 	reason   string
 }
 
-// choose returns the most pressing step: out of a draining region, out of one
-// over its limit, or back home.
-func (v *view) choose(m *plan.Plan, s *step) (choice, bool) {
-	for _, f := range []func(m *plan.Plan, s *step) choice{v.drain, v.relieve, v.home} {
+// nextShift returns the most urgent step: out of a draining region, out of a
+// region over its limit, or back home.
+func (v *serviceView) nextShift(m *plan.Plan, s *shiftState) (shift, bool) {
+	for _, f := range []func(m *plan.Plan, s *shiftState) shift{v.leaveDraining, v.leaveOverloaded, v.returnHome} {
 		c := f(m, s)
-		c.amount = min(c.amount, v.preset.ShiftCap*v.ramp(c.to, s))
-		if c.to != "" && c.amount >= leastStep {
+		c.amount = min(c.amount, v.preset.ShiftCap*v.stepFraction(c.to, s))
+		if c.to != "" && c.amount >= minStep {
 			return c, true
 		}
 	}
-	return choice{}, false
+	return shift{}, false
 }
 
-func (v *view) drain(m *plan.Plan, s *step) choice {
+// leaveDraining returns a step out of a draining region that still has callers.
+func (v *serviceView) leaveDraining(m *plan.Plan, s *shiftState) shift {
 	for _, n := range v.names {
 		if h := v.share(m, n); v.draining[n] && h > 0 && v.regions[n].Alive {
 			d, a := v.destination(n, s)
-			return choice{from: n, to: d, amount: min(h, a), reason: "the region drains"}
+			return shift{from: n, to: d, amount: min(h, a), reason: "the region drains"}
 		}
 	}
-	return choice{}
+	return shift{}
 }
 
-func (v *view) relieve(_ *plan.Plan, s *step) choice {
+// leaveOverloaded returns a step out of a region whose demand exceeds its
+// usable slots.
+func (v *serviceView) leaveOverloaded(_ *plan.Plan, s *shiftState) shift {
 	for _, n := range v.names {
 		o := v.regions[n]
-		x := (o.Demand - v.usable(n)) / max(v.total, 1)
+		x := (o.Demand - v.usableSlots(n)) / max(v.total, 1)
 		if !o.Alive || v.draining[n] || x <= 0 {
 			continue
 		}
 		d, a := v.destination(n, s)
-		return choice{from: n, to: d, amount: min(x, a), reason: "the region is over its limit"}
+		return shift{from: n, to: d, amount: min(x, a), reason: "the region is over its limit"}
 	}
-	return choice{}
+	return shift{}
 }
 
-// home brings back the callers of the home region that has the most of them
-// elsewhere, if it can take them with room to spare.
-func (v *view) home(m *plan.Plan, s *step) choice {
-	c := choice{reason: "back home"}
+// returnHome returns callers to the home region that has the most of them
+// elsewhere, if the region can serve them below returnUtilization.
+func (v *serviceView) returnHome(m *plan.Plan, s *shiftState) shift {
+	c := shift{reason: "back home"}
 	for _, n := range v.names {
-		if !v.takes(n, s) {
+		if !v.acceptsCallers(n, s) {
 			continue
 		}
-		f := (returnBelow*v.usable(n) - v.regions[n].Demand) / max(v.total, 1)
+		f := (returnUtilization*v.usableSlots(n) - v.regions[n].Demand) / max(v.total, 1)
 		r := m.Route(v.service, n)
 		for _, o := range v.names {
 			a := min(f, v.regions[n].Callers*float64(r.Share(o))/route.Points)
@@ -141,33 +152,35 @@
 	return c
 }
 
-// destination returns the region with the most room, and the room.
-func (v *view) destination(from string, s *step) (region string, amount float64) {
+// destination returns the region with the most free slots that accepts callers,
+// and the fraction of the service's demand that fits in them.
+func (v *serviceView) destination(from string, s *shiftState) (region string, amount float64) {
 	for _, n := range v.names {
-		a := (v.usable(n) - v.regions[n].Demand) / max(v.total, 1)
-		if n != from && v.takes(n, s) && a > amount {
+		a := (v.usableSlots(n) - v.regions[n].Demand) / max(v.total, 1)
+		if n != from && v.acceptsCallers(n, s) && a > amount {
 			region, amount = n, a
 		}
 	}
 	return region, amount
 }
 
-// takes reports whether callers may be moved to a region now: not while it
-// answers slowly after the last step, and not soon after it failed.
-func (v *view) takes(n string, s *step) bool {
+// acceptsCallers reports whether callers may be moved to a region now. A region
+// that answers slowly after a recent step to it, or that failed recently,
+// accepts none.
+func (v *serviceView) acceptsCallers(n string, s *shiftState) bool {
 	o := v.regions[n]
 	if !o.Alive || v.draining[n] {
 		return false
 	}
-	if t, ok := s.failed[n]; ok && v.now.Sub(t) < avoidPaces*v.pace {
+	if t, ok := s.failedAt[n]; ok && v.now.Sub(t) < avoidIntervals*v.stepInterval {
 		return false
 	}
-	b, ok := s.before[n]
-	return !ok || v.now.Sub(b.at) >= forgetPaces*v.pace || !slow(o, b.was)
+	b, ok := s.baselines[n]
+	return !ok || v.now.Sub(b.lastStep) >= baselineIntervals*v.stepInterval || !isSlow(o, b.observed)
 }
 
-// usable returns how many slots a plan may fill.
-func (v *view) usable(n string) float64 {
+// usableSlots returns how many slots of a region a plan may fill.
+func (v *serviceView) usableSlots(n string) float64 {
 	o := v.regions[n]
 	if !o.Alive || v.draining[n] {
 		return 0
@@ -175,19 +188,21 @@
 	return float64(o.Slots) * (1 - v.preset.Headroom)
 }
 
-// ramp returns the part of the cap that a step to a region may take.
-func (v *view) ramp(to string, s *step) float64 {
-	f := firstStep
+// stepFraction returns the fraction of ShiftCap that a step to a region may
+// take.
+func (v *serviceView) stepFraction(to string, s *shiftState) float64 {
+	f := firstStepFraction
 	if s.to == to {
-		for range s.good + 1 {
+		for range s.consecutive + 1 {
 			f = min(1, f*2)
 		}
 	}
 	return f
 }
 
-// share returns the part of the service's callers that a region has.
-func (v *view) share(m *plan.Plan, region string) float64 {
+// share returns the fraction of the service's callers that is steered to a
+// region.
+func (v *serviceView) share(m *plan.Plan, region string) float64 {
 	c := make(map[string]float64, len(v.names))
 	for _, n := range v.names {
 		c[n] = v.regions[n].Callers
@@ -195,11 +210,12 @@
 	return m.Share(v.service, region, c)
 }
 
-// moves spreads a step over home regions: those whose home is the destination
-// first, so that callers return home, then those whose home is neither.
-func (c choice) moves(m *plan.Plan, v *view) []move {
+// moves distributes a step over the home regions. Callers whose home is the
+// destination go first, so that they return home, then those whose home is
+// neither region.
+func (c shift) moves(m *plan.Plan, v *serviceView) []move {
 	n := append([]string(nil), v.names...)
-	sort.SliceStable(n, func(i, j int) bool { return c.rank(n[i]) < c.rank(n[j]) })
+	sort.SliceStable(n, func(i, j int) bool { return c.homePriority(n[i]) < c.homePriority(n[j]) })
 	a := c.amount
 	var r []move
 	for _, h := range n {
@@ -213,7 +229,9 @@
 	return r
 }
 
-func (c choice) rank(home string) int {
+// homePriority returns the rank of a home region in a step; the lowest goes
+// first.
+func (c shift) homePriority(home string) int {
 	switch home {
 	case c.to:
 		return 0
@@ -224,10 +242,10 @@
 	}
 }
 
-func slow(o, before observation.Observation) bool {
-	return before.Latency > 0 && o.Latency > slowFactor*before.Latency+slowMargin
+func isSlow(o, before observation.Observation) bool {
+	return before.Latency > 0 && o.Latency > slowLatencyFactor*before.Latency+slowLatencyMargin
 }
 
-func fails(o, before observation.Observation) bool {
-	return o.Alive && o.Failures > max(failFraction, failFactor*before.Failures)
+func isFailing(o, before observation.Observation) bool {
+	return o.Alive && o.Failures > max(minFailingFraction, failingFactor*before.Failures)
 }
