--- a/plan/plan.go
+++ b/plan/plan.go
@@ -1,4 +1,4 @@
-// Package plan describes where callers are steered.
+// Package plan describes to which regions callers are steered.
 package plan
 
 import (
@@ -7,23 +7,27 @@
 	"celeryreach.example/celeryreach/route"
 )
 
-// Plan is one version of the steering. Like the configuration it only moves to
-// higher versions; without a planner or a platform the last one stands.
+// Plan is one version of the steering. Like the configuration, it is only
+// replaced by a higher version. Without a planner or the platform the last plan
+// stays in force.
 type Plan struct {
 	// Version grows by one with each plan.
 	Version uint64
 	// Epoch is the planner lease under which the plan was made.
 	Epoch uint64
-	// Routes hold what does not stay at home.
+	// Routes are the routes that steer some callers away from their home
+	// region.
 	Routes []route.Route `json:",omitzero"`
-	// Domains are the weights in 0..1 of failure domains that are drained or
-	// come back; those that are not named weigh 1.
+	// Domains are the weights, in 0..1, of failure domains that are drained
+	// or returning to service. Failure domains that are not listed have
+	// weight 1.
 	Domains map[string]float64 `json:",omitzero"`
-	// Reason says what the plan changed.
+	// Reason describes what the plan changed.
 	Reason string
 }
 
-// Route returns the route of a service and a home region.
+// Route returns the route of a service and a home region. By default it keeps
+// all callers at home.
 func (p *Plan) Route(service, home string) route.Route {
 	if p != nil {
 		for _, r := range p.Routes {
@@ -35,7 +39,8 @@
 	return route.New(service, home)
 }
 
-// With returns a copy of the plan that has r.
+// With returns a copy of the plan in which r replaces the route of the same
+// service and home region.
 func (p *Plan) With(r route.Route) *Plan {
 	n := *p
 	n.Routes = nil
@@ -57,8 +62,9 @@
 	return &n
 }
 
-// Share returns the part of a service's callers that a region has, when callers
-// are the parts of the home regions.
+// Share returns the fraction of a service's callers that is steered to a
+// region. The parameter callers holds the fraction of callers of each home
+// region.
 func (p *Plan) Share(service, region string, callers map[string]float64) float64 {
 	t, c := 0.0, 0.0
 	for h, v := range callers {
@@ -82,7 +88,7 @@
 	return 1
 }
 
-// WithWeight returns a copy of the plan that gives a failure domain a weight.
+// WithWeight returns a copy of the plan with a new weight of a failure domain.
 func (p *Plan) WithWeight(domain string, weight float64) *Plan {
 	n := *p
 	n.Domains = make(map[string]float64, len(p.Domains)+1)
