--- a/planfollower/planfollower.go
+++ b/planfollower/planfollower.go
@@ -1,4 +1,4 @@
-// Package planfollower keeps a host on the newest plan.
+// Package planfollower keeps the newest plan on a host.
 package planfollower
 
 import (
@@ -20,7 +20,7 @@
 const Kind = "Plan"
 
 // Planfollower applies only higher versions, from the platform or from peers.
-// Without either the last plan stands.
+// If neither can be reached, the last plan stays in force.
 type Planfollower struct {
 	// Clock paces the polling.
 	Clock clockwork.Clock
@@ -28,9 +28,9 @@
 	Log *log.Logger
 	// Platform is polled.
 	Platform store.Store
-	// Poll returns the time until the next read of the row.
+	// Poll returns the time until the next read of the plan's row.
 	Poll func() time.Duration
-	// Changed is called after a version was applied; nil calls nothing.
+	// Changed is called after a version was applied; it may be nil.
 	Changed func()
 
 	once    sync.Once
@@ -43,7 +43,7 @@
 	return f.current.Load()
 }
 
-// Replica returns what peers exchange.
+// Replica returns the copy of the plan that is exchanged with peers.
 func (f *Planfollower) Replica() *replica.Replica {
 	f.once.Do(func() {
 		f.replica = &replica.Replica{
