--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -1,4 +1,4 @@
-// Package lookup tells callers which entry hosts to use.
+// Package lookup answers callers' look-ups of entry hosts.
 package lookup
 
 import (
@@ -21,23 +21,27 @@
 )
 
 const (
-	// fewHosts is how many hosts of a region an account's callers meet on: its
-	// tokens are then where its callers are, and one lost host moves a third
-	// of them.
-	fewHosts = 3
-	// namedHosts is how many hosts of the region an answer names at most, more
-	// than a failure domain has, so that one that drains leaves some.
-	namedHosts = 6
-	// ttlSpread is the part of the time to live that is drawn at random, so
-	// that callers that asked together do not come back together.
-	ttlSpread = 0.2
-	// An address without a client block is steered with its neighbors.
-	bits4 = 24
-	bits6 = 48
+	// hostsPerAccount is the number of a region's hosts that an account's
+	// callers share. With few hosts, the account's tokens are on the hosts
+	// that its callers use; with three, the loss of a host moves a third of
+	// the callers.
+	hostsPerAccount = 3
+	// maxEntryHosts is the maximum number of hosts in an answer. It is more
+	// than a failure domain has, so that some remain when one drains.
+	maxEntryHosts = 6
+	// ttlJitter is the fraction of the time to live that is random, so that
+	// callers that looked up at the same time do not return at the same
+	// time.
+	ttlJitter = 0.2
+	// An address without a client block is steered together with all
+	// addresses of the same prefix, which has fallbackBitsIPv4 or
+	// fallbackBitsIPv6 bits.
+	fallbackBitsIPv4 = 24
+	fallbackBitsIPv6 = 48
 )
 
-// Lookup answers GET /lookup from memory alone: without the platform, peers or
-// a planner it goes on with what it has.
+// Lookup answers GET /lookup from memory alone. Without the platform, peers or
+// a planner it continues with the data that it has.
 type Lookup struct {
 	// Snapshot returns the configuration in force, nil before the first.
 	Snapshot func() *snapshot.Snapshot
@@ -47,33 +51,35 @@
 	Hosts func() *roster.Roster
 	// Block returns the client block of an address and its nearest region.
 	Block func(a netip.Addr) (netip.Prefix, string, bool)
-	// Home is the region of callers of whom nothing is known.
+	// Home is the region assumed for callers without a client block.
 	Home string
-	// Lost reports whether no host of a region was heard for long.
+	// Lost reports whether no host of a region has sent a heartbeat for a
+	// long time.
 	Lost func(region string) bool
-	// Moved returns how many points of a lost region's callers are steered to
-	// other regions.
+	// Moved returns how many points of a lost region's callers are steered
+	// to other regions.
 	Moved func(service, region string) int
-	// Last returns the hosts of a region that were heard last, alive or not.
+	// Last returns the last known hosts of a region, alive or not.
 	Last func(region string) []member.Member
-	// Asked is told of each look-up of a caller.
+	// Asked is called for each look-up, with the service and the caller's
+	// home region.
 	Asked func(service, home string)
-	// Random returns a number in 0..1, without 0 and 1.
+	// Random returns a random number between 0 and 1, exclusive.
 	Random func() float64
 }
 
 // ServeHTTP answers one look-up.
 func (l *Lookup) ServeHTTP(w http.ResponseWriter, h *http.Request) {
 	q := h.URL.Query()
-	a, o := l.address(q.Get("address"), h.RemoteAddr)
+	a, o := l.callerAddress(q.Get("address"), h.RemoteAddr)
 	if o.Outcome == "" {
-		o = l.check(q.Get("service"), q.Get("region"))
+		o = l.validate(q.Get("service"), q.Get("region"))
 	}
 	if o.Outcome != "" {
 		refusal.Write(w, o)
 		return
 	}
-	l.Asked(q.Get("service"), l.homeOf(q.Get("region"), a))
+	l.Asked(q.Get("service"), l.homeRegion(q.Get("region"), a))
 	r, o := l.Find(q.Get("account"), q.Get("service"), q.Get("region"), a)
 	if o.Outcome != "" {
 		refusal.Write(w, o)
@@ -81,14 +87,15 @@
 	}
 	b, err := codec.Marshal(r)
 	if err != nil {
-		panic(err) // an Answer holds nothing that JSON cannot
+		panic(err) // every Answer can be encoded as JSON
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(b) // a failed write means that the caller left
+	_, _ = w.Write(b) // a failed write means that the caller has disconnected
 }
 
-// address reads the caller's address, by default the one that it asks from.
-func (l *Lookup) address(given, remote string) (netip.Addr, outcome.Outcome) {
+// callerAddress returns the address given in the request, or by default the
+// remote address of the connection.
+func (l *Lookup) callerAddress(given, remote string) (netip.Addr, outcome.Outcome) {
 	if given == "" {
 		p, err := netip.ParseAddrPort(remote)
 		if err != nil {
@@ -98,45 +105,46 @@
 	}
 	a, err := netip.ParseAddr(given)
 	if err != nil {
-		return a, bad("address: not an IP address")
+		return a, badRequest("address: not an IP address")
 	}
 	return a, outcome.Outcome{}
 }
 
-func (l *Lookup) check(service, region string) outcome.Outcome {
+func (l *Lookup) validate(service, region string) outcome.Outcome {
 	s := l.Snapshot()
 	if s == nil {
 		return outcome.Outcome{}
 	}
 	if region != "" && !s.HasRegion(region) {
-		return bad("region: there is no such region")
+		return badRequest("region: there is no such region")
 	}
 	if _, ok := s.Named(service); service != "" && !ok {
-		return bad("service: there is no such service")
+		return badRequest("service: there is no such service")
 	}
 	return outcome.Outcome{}
 }
 
-// Find returns the entry hosts for a caller, or the outcome that says why it
-// gets none. An empty region means the one that is nearest to the address.
+// Find returns the entry hosts for a caller, or the outcome with the reason why
+// there are none. An empty region stands for the region nearest to the address.
 func (l *Lookup) Find(account, service, region string, a netip.Addr) (answer.Answer, outcome.Outcome) {
-	b, _ := l.home(a)
-	h := l.homeOf(region, a)
+	b, _ := l.clientBlock(a)
+	h := l.homeRegion(region, a)
 	p := l.Plan()
 	t := p.Route(service, h).Find(route.Point(service, b)).Region
 	m := l.Hosts()
 	if l.Lost(t) || l.Moved(service, t) > 0 {
-		e, ok := l.elsewhere(service, t, b, m)
+		e, ok := l.failoverRegion(service, t, b, m)
 		if !ok {
-			return answer.Answer{}, l.wait(t)
+			return answer.Answer{}, l.refuseUntilMoved(t)
 		}
 		t = e
 	}
 	r := answer.Answer{Region: t}
-	k := l.rank(account, t, b, m, p)
+	k := l.rankHosts(account, t, b, m, p)
 	if len(k) == 0 {
-		// None was heard for a moment. Its hosts may be there all the same,
-		// and the region only counts as lost after a longer silence.
+		// No host of the region is alive at the moment, but its hosts
+		// may still be running: a region counts as lost only after a
+		// longer silence.
 		k = l.Last(t)
 	}
 	for _, v := range k {
@@ -146,29 +154,30 @@
 		r.PlanVersion = p.Version
 	}
 	if s := l.Snapshot(); s != nil {
-		r.TTL = time.Duration(float64(s.Preset.LookupTTL) * (1 - ttlSpread*l.Random()))
+		r.TTL = time.Duration(float64(s.Preset.LookupTTL) * (1 - ttlJitter*l.Random()))
 		r.ConfigVersion = s.Config.Version
 	}
 	return r, outcome.Outcome{}
 }
 
-// homeOf returns the region that a caller names, or the one of its block.
-func (l *Lookup) homeOf(region string, a netip.Addr) string {
+// homeRegion returns the region that the caller named, or else that of its
+// client block.
+func (l *Lookup) homeRegion(region string, a netip.Addr) string {
 	if region != "" {
 		return region
 	}
-	_, h := l.home(a)
+	_, h := l.clientBlock(a)
 	return h
 }
 
-// home returns the name of the caller's client block and its region.
-func (l *Lookup) home(a netip.Addr) (block, region string) {
+// clientBlock returns the name of the caller's client block and its region.
+func (l *Lookup) clientBlock(a netip.Addr) (block, region string) {
 	if p, r, ok := l.Block(a); ok {
 		return p.String(), r
 	}
-	n := bits4
+	n := fallbackBitsIPv4
 	if a.Unmap().Is6() {
-		n = bits6
+		n = fallbackBitsIPv6
 	}
 	p, err := a.Unmap().Prefix(n)
 	if err != nil {
@@ -177,9 +186,10 @@
 	return p.String(), l.Home
 }
 
-// elsewhere returns the region for a caller of a region that is lost or comes
-// back. It reports false while the caller's turn to move has not come.
-func (l *Lookup) elsewhere(service, region, block string, o *roster.Roster) (string, bool) {
+// failoverRegion returns the region for a caller whose region is lost or
+// recovering. It reports false if the region is lost and the caller is not
+// among the callers moved so far.
+func (l *Lookup) failoverRegion(service, region, block string, o *roster.Roster) (string, bool) {
 	if route.Point("failover "+service, block) >= l.Moved(service, region) {
 		return region, !l.Lost(region)
 	}
@@ -192,9 +202,10 @@
 	return t, t != ""
 }
 
-// wait refuses a caller of a lost region until its turn comes. The hosts that
-// were heard last are named: they may only be cut off from this one.
-func (l *Lookup) wait(region string) outcome.Outcome {
+// refuseUntilMoved refuses a caller of a lost region that has not been moved
+// yet. It names the last known hosts of the region, which may only be
+// unreachable from this host.
+func (l *Lookup) refuseUntilMoved(region string) outcome.Outcome {
 	o := outcome.Outcome{
 		Outcome: outcome.NoCapacity, Ran: outcome.RanNo, RetryAfter: time.Second,
 		Message: "the region is lost, and its callers are moved in steps",
@@ -203,26 +214,27 @@
 		o.EntryHosts = append(o.EntryHosts, v.CallerAddress)
 	}
 	if s := l.Snapshot(); s != nil {
-		o.RetryAfter = time.Duration(float64(s.Preset.ShiftInterval) * (1 - ttlSpread*l.Random()))
+		o.RetryAfter = time.Duration(float64(s.Preset.ShiftInterval) * (1 - ttlJitter*l.Random()))
 	}
 	return o
 }
 
-// rank orders a region's hosts: the account's few, then some others, then those
-// that are drained for this caller. Among the few chance decides, so that
-// callers who share an address, as behind a translator, spread as well.
-func (l *Lookup) rank(account, region, block string, o *roster.Roster, p *plan.Plan) []member.Member {
+// rankHosts orders a region's hosts: the account's preferred hosts, then
+// others, then those in draining failure domains that no longer take this
+// caller. The preferred hosts are in random order, so that callers that share
+// an address, as behind network address translation, are spread as well.
+func (l *Lookup) rankHosts(account, region, block string, o *roster.Roster, p *plan.Plan) []member.Member {
 	m, w := o.Hosts(region)
-	var k, d []ranked
-	for _, i := range o.Preferred(account, region, namedHosts) {
+	var k, d []scoredHost
+	for _, i := range o.Preferred(account, region, maxEntryHosts) {
 		x := p.Weight(m[i].Domain)
 		if x < 1 && rendezvous.Uniform(block, m[i].Domain) >= x {
-			d = append(d, ranked{host: i})
+			d = append(d, scoredHost{host: i})
 			continue
 		}
-		k = append(k, ranked{host: i, score: -w[i] / math.Log(l.Random())})
+		k = append(k, scoredHost{host: i, score: -w[i] / math.Log(l.Random())})
 	}
-	f := k[:min(len(k), fewHosts)]
+	f := k[:min(len(k), hostsPerAccount)]
 	sort.SliceStable(f, func(i, j int) bool { return f[i].score > f[j].score })
 	r := make([]member.Member, 0, len(k)+len(d))
 	for _, v := range append(k, d...) {
@@ -231,12 +243,13 @@
 	return r
 }
 
-// ranked is a host and the chance that it was drawn with.
-type ranked struct {
+// scoredHost is the index of a host and its random score, which depends on the
+// host's weight.
+type scoredHost struct {
 	host  int
 	score float64
 }
 
-func bad(m string) outcome.Outcome {
+func badRequest(m string) outcome.Outcome {
 	return outcome.Outcome{Outcome: outcome.BadRequest, Ran: outcome.RanNo, Message: m}
 }
--- a/lookup/lookup_test.go
+++ b/lookup/lookup_test.go
@@ -21,21 +21,21 @@
 	"celeryreach.example/celeryreach/snapshot"
 )
 
-// world is what a look-up reads.
-type world struct {
+// hostState is the data of a host that a look-up reads.
+type hostState struct {
 	// Config is the configuration.
 	Config config.Config
 	// Plan is the plan.
 	Plan *plan.Plan
-	// Hosts are alive.
+	// Hosts are the hosts that are alive.
 	Hosts []member.Member
-	// Gone were heard once.
+	// Gone are known hosts that are no longer alive.
 	Gone []member.Member `json:",omitzero"`
-	// Moved are the points of lost regions.
+	// Moved are the points moved out of lost regions.
 	Moved map[string]int `json:",omitzero"`
 }
 
-func (w *world) lookup() *lookup.Lookup {
+func (w *hostState) lookup() *lookup.Lookup {
 	s := snapshot.New(&w.Config, "")
 	o := roster.New(w.Hosts, s.Slots)
 	return &lookup.Lookup{
@@ -63,10 +63,10 @@
 	}
 }
 
-// Each file holds what a host knows, look-ups, and their answers.
-func TestSessions(t *testing.T) {
+// Each file holds the data of a host, look-ups, and their answers.
+func TestLookupAnswers(t *testing.T) {
 	golden.Play(t, func(t *testing.T, p [][]byte) string {
-		var w world
+		var w hostState
 		must.NoError(t, codec.Unmarshal(p[0], &w))
 		l := w.lookup()
 		var b strings.Builder
@@ -80,21 +80,21 @@
 	})
 }
 
-// A shift of 5% moves 5% of the client blocks of the region, and none of the
-// others change theirs; moved back, the same blocks come home.
+// A shift of 5% moves 5% of the region's client blocks and no others. Shifting
+// back restores the region of the same blocks.
 func TestShiftMovesOnlyItsBlocks(t *testing.T) {
-	w := fleet(9, 4)
+	w := newHostState(9, 4)
 	l := w.lookup()
 	o := make(map[int]string)
 	const n = 100_000
 	for i := range n {
-		o[i] = region(t, l, i)
+		o[i] = regionOf(t, l, i)
 	}
 	r := route.New("Listings", "lagos").Shift("lagos", "region-2", 50_000)
 	w.Plan = w.Plan.With(r)
 	m := 0
 	for i := range n {
-		if k := region(t, l, i); k != o[i] {
+		if k := regionOf(t, l, i); k != o[i] {
 			must.EqOp(t, "region-2", k)
 			m++
 		}
@@ -102,18 +102,18 @@
 	must.Between(t, n*45/1000, m, n*55/1000)
 	w.Plan = w.Plan.With(r.Shift("region-2", "lagos", 50_000))
 	for i := range n {
-		must.EqOp(t, o[i], region(t, l, i))
+		must.EqOp(t, o[i], regionOf(t, l, i))
 	}
 }
 
-func region(t *testing.T, l *lookup.Lookup, i int) string {
+func regionOf(t *testing.T, l *lookup.Lookup, i int) string {
 	a, o := l.Find("unity", "Listings", "", netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}))
 	must.EqOp(t, "", o.Outcome)
 	return a.Region
 }
 
-func fleet(regions, hosts int) *world {
-	w := &world{Plan: &plan.Plan{}}
+func newHostState(regions, hosts int) *hostState {
+	w := &hostState{Plan: &plan.Plan{}}
 	for i := range regions {
 		n := fmt.Sprintf("region-%d", i)
 		if i == 0 {
@@ -127,10 +127,10 @@
 	return w
 }
 
-// The look-ups a second a core at the size of two years: 2.2 million client
-// blocks, and 878 hosts in a region.
+// BenchmarkFind measures look-ups at the size expected in two years: 2.2
+// million client blocks, and 878 hosts in a region.
 func BenchmarkFind(b *testing.B) {
-	w := fleet(9, 878)
+	w := newHostState(9, 878)
 	l := w.lookup()
 	l.Random = func() float64 { return 1 - rand.Float64() }
 	b.ReportAllocs()
