--- a/failover/failover.go
+++ b/failover/failover.go
@@ -1,6 +1,6 @@
-// Package failover steers the callers of a lost region to the others, in
-// capped steps and without a planner: the region that is lost may be the one
-// that has the platform.
+// Package failover steers the callers of a lost region to other regions in
+// steps of limited size. It works without a planner, since the lost region may
+// be the one that has the platform.
 package failover
 
 import (
@@ -13,99 +13,102 @@
 	"celeryreach.example/celeryreach/route"
 )
 
-// Failover holds, for each service and region, which part of the region's
-// callers is steered elsewhere. Every host decides alone; since all follow the
-// same steps from about the same moment and move the same client blocks, the
-// parts differ by one step at most.
+// Failover holds, for each service and region, the part of the region's callers
+// that is steered to other regions. Each host decides on its own. All hosts
+// take the same steps from about the same time and move the same client blocks,
+// so their parts differ by at most one step.
 type Failover struct {
 	// Clock paces the steps.
 	Clock clockwork.Clock
 	// Preset returns the policy in force.
 	Preset func() preset.Preset
-	// Share returns the part of a service's callers that a region has.
+	// Share returns the fraction of a service's callers that is steered to
+	// a region.
 	Share func(service, region string) float64
-	// Room returns the part of a service's callers that the regions that are
-	// heard can take without going over their limits.
+	// Room returns the fraction of a service's callers that the regions
+	// that are alive can take without exceeding their limits.
 	Room func(service string) float64
 
-	mu      sync.Mutex
-	regions map[key]*state
-	planned time.Time
+	mu       sync.Mutex
+	states   map[regionKey]*regionState
+	lastPlan time.Time
 }
 
-type key struct {
+type regionKey struct {
 	service, region string
 }
 
-type state struct {
-	points int
-	at     time.Time
-	wanted time.Time // when it last had a step to take
+type regionState struct {
+	movedPoints int
+	lastStep    time.Time
+	lastPending time.Time // when a step was last needed
 }
 
-// Planned notes that a plan has just moved callers. The next step waits its
-// interval from then, or both together would go over the cap.
+// Planned records that a plan has just moved callers. The next step is delayed
+// by an interval, since both together could exceed the cap.
 func (f *Failover) Planned() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.planned = f.Clock.Now()
+	f.lastPlan = f.Clock.Now()
 }
 
-// Quiet reports whether no step was taken for a time.
+// Quiet reports whether no step was taken within the last d.
 func (f *Failover) Quiet(d time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range f.regions {
-		if f.Clock.Since(s.at) < d {
+	for _, s := range f.states {
+		if f.Clock.Since(s.lastStep) < d {
 			return false
 		}
 	}
 	return true
 }
 
-// Moved returns how many points of a region's callers are steered elsewhere.
+// Moved returns how many points of a region's callers are steered to other
+// regions.
 func (f *Failover) Moved(service, region string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if s := f.regions[key{service: service, region: region}]; s != nil {
-		return s.points
+	if s := f.states[regionKey{service: service, region: region}]; s != nil {
+		return s.movedPoints
 	}
 	return 0
 }
 
-// Adopt takes over what a peer has moved. A host that starts while a region is
-// lost would else begin anew, and send the callers that ask it back.
+// Adopt takes over the points that a peer has moved if they are more than this
+// host's. Otherwise a host that starts while a region is lost would begin at
+// zero and send the callers that look up there back to the lost region.
 func (f *Failover) Adopt(service, region string, points int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := f.state(service, region)
-	if points > s.points {
-		s.points = min(points, route.Points)
-		s.at = f.Clock.Now()
+	s := f.stateOf(service, region)
+	if points > s.movedPoints {
+		s.movedPoints = min(points, route.Points)
+		s.lastStep = f.Clock.Now()
 	}
 }
 
-// Each calls do for each region with moved callers.
+// Each calls do for each region that has moved callers.
 func (f *Failover) Each(do func(service, region string, points int)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for k, s := range f.regions {
-		if s.points > 0 {
-			do(k.service, k.region, s.points)
+	for k, s := range f.states {
+		if s.movedPoints > 0 {
+			do(k.service, k.region, s.movedPoints)
 		}
 	}
 }
 
-// Tick takes a step if one is due: out of a region while it is lost, and back
-// when it is heard again, since its caches are cold then.
+// Tick takes a step if one is due. Steps lead out of a region while it is lost,
+// and back when it is alive again: its caches are cold then.
 func (f *Failover) Tick(service, region string, alive bool) {
 	h, m := f.Share(service, region), f.Room(service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if alive && f.regions[key{service: service, region: region}] == nil {
+	if alive && f.states[regionKey{service: service, region: region}] == nil {
 		return
 	}
-	s := f.state(service, region)
+	s := f.stateOf(service, region)
 	p := f.Preset()
 	n := f.Clock.Now()
 	c := p.ShiftCap
@@ -113,56 +116,56 @@
 		c = min(c, m)
 	}
 	k := int(c / max(h, c, 1e-9) * route.Points)
-	if alive && s.points > 0 || !alive && s.points < route.Points && k > 0 {
-		s.wanted = n
+	if alive && s.movedPoints > 0 || !alive && s.movedPoints < route.Points && k > 0 {
+		s.lastPending = n
 	}
 	i := p.ShiftInterval
-	if n.Sub(f.planned) < i || !f.turn(service, s, n, i) {
+	if n.Sub(f.lastPlan) < i || !f.mayStep(service, s, n, i) {
 		return
 	}
-	if alive && s.points == 0 {
-		delete(f.regions, key{service: service, region: region})
+	if alive && s.movedPoints == 0 {
+		delete(f.states, regionKey{service: service, region: region})
 		return
 	}
 	s.step(k, alive, n)
 }
 
-// step moves k points, out while the region is lost and else back.
-func (s *state) step(k int, alive bool, now time.Time) {
-	o := s.points
+// step moves k points, out of the region if it is lost and back otherwise.
+func (s *regionState) step(k int, alive bool, now time.Time) {
+	o := s.movedPoints
 	if alive {
 		k = -k
 	}
-	s.points = min(route.Points, max(0, s.points+k))
-	if s.points != o {
-		s.at = now
+	s.movedPoints = min(route.Points, max(0, s.movedPoints+k))
+	if s.movedPoints != o {
+		s.lastStep = now
 	}
 }
 
-// turn reports whether a region may take the service's next step. The cap is
-// the service's: two regions that are lost together share it, and the one that
-// has waited longest goes first.
-func (f *Failover) turn(service string, s *state, now time.Time, interval time.Duration) bool {
-	for k, o := range f.regions {
+// mayStep reports whether a region may take the service's next step. The cap
+// applies to the service: two regions that are lost at the same time share it,
+// and the one that has waited longest goes first.
+func (f *Failover) mayStep(service string, s *regionState, now time.Time, interval time.Duration) bool {
+	for k, o := range f.states {
 		if k.service != service {
 			continue
 		}
-		if now.Sub(o.at) < interval || now.Sub(o.wanted) < interval && o.at.Before(s.at) {
+		if now.Sub(o.lastStep) < interval || now.Sub(o.lastPending) < interval && o.lastStep.Before(s.lastStep) {
 			return false
 		}
 	}
 	return true
 }
 
-func (f *Failover) state(service, region string) *state {
-	if f.regions == nil {
-		f.regions = make(map[key]*state)
+func (f *Failover) stateOf(service, region string) *regionState {
+	if f.states == nil {
+		f.states = make(map[regionKey]*regionState)
 	}
-	k := key{service: service, region: region}
-	s := f.regions[k]
+	k := regionKey{service: service, region: region}
+	s := f.states[k]
 	if s == nil {
-		s = new(state)
-		f.regions[k] = s
+		s = new(regionState)
+		f.states[k] = s
 	}
 	return s
 }
--- a/failover/failover_test.go
+++ b/failover/failover_test.go
@@ -16,21 +16,20 @@
 const (
 	interval = 30 * time.Second
 	tick     = 5 * time.Second
-	limit    = 0.1
+	shiftCap = 0.1
 )
 
-// What callers see if this fails: a region dies, and all of its callers arrive
-// at once at regions that cannot take them, which fail in turn. However often
-// a region is lost and heard again, and whatever plans are published meanwhile,
-// no more than the cap of the callers may move within an interval, and nobody
-// is moved to regions without room.
+// If failover exceeds the cap, all callers of a lost region arrive at once at
+// regions that cannot take them, and these fail in turn. However often the
+// region is lost and recovers, at most the cap of the callers move within an
+// interval, and none are moved out while the other regions have no room.
 func TestStepsStayUnderTheCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clockwork.NewFakeClock()
 		h := rapid.Float64Range(0.05, 1).Draw(t, "share")
 		m := 1.0
 		f := &failover.Failover{
-			Clock: c, Preset: func() preset.Preset { return preset.Preset{ShiftCap: limit, ShiftInterval: interval} },
+			Clock: c, Preset: func() preset.Preset { return preset.Preset{ShiftCap: shiftCap, ShiftInterval: interval} },
 			Share: func(string, string) float64 { return h }, Room: func(string) float64 { return m },
 		}
 		var p []float64
@@ -45,20 +44,20 @@
 			}
 			p = append(p, h*float64(n)/route.Points)
 			for i := max(0, len(p)-int(interval/tick)); i < len(p); i++ {
-				must.Between(t, p[len(p)-1]-limit-1e-5, p[i], p[len(p)-1]+limit+1e-5)
+				must.Between(t, p[len(p)-1]-shiftCap-1e-5, p[i], p[len(p)-1]+shiftCap+1e-5)
 			}
 			c.Advance(tick)
 		}
 	})
 }
 
-// A region is lost for five minutes and then heard again. Its callers are all
-// elsewhere after four steps and all home after four more; right after a plan
-// has moved callers the first step waits.
-func TestLostAndBack(t *testing.T) {
+// A region is lost just after a plan has moved callers, and recovers later. The
+// first step is delayed by an interval. Four steps move all callers out, and
+// four more move them back.
+func TestRegionLostAndRecovered(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	f := &failover.Failover{
-		Clock: c, Preset: func() preset.Preset { return preset.Preset{ShiftCap: limit, ShiftInterval: interval} },
+		Clock: c, Preset: func() preset.Preset { return preset.Preset{ShiftCap: shiftCap, ShiftInterval: interval} },
 		Share: func(string, string) float64 { return 1.0 / 3 }, Room: func(string) float64 { return 1 },
 	}
 	f.Planned()
