--- a/growth/growth.go
+++ b/growth/growth.go
@@ -1,7 +1,8 @@
-// Package growth caps how fast a failure domain takes on traffic from elsewhere.
-// When a region fails, all its callers come at once; caches are cold, and a
-// domain that took them all would fail next. The cap holds where the traffic
-// arrives, whatever senders and plans believe.
+// Package growth limits how fast a failure domain takes on remote traffic,
+// which comes from other regions or failure domains. When a region fails, all
+// its callers arrive at once; a domain that took them all with cold caches
+// would fail next. The limit applies where the traffic arrives, regardless of
+// the view of senders and plans.
 package growth
 
 import (
@@ -13,58 +14,61 @@
 )
 
 const (
-	// maxBurst is the part of an interval's allowance that may come at once.
-	maxBurst = 0.1
-	// minBurst lets at least this many requests come at once.
-	minBurst = 1
+	// maxBurstFraction is the largest fraction of an interval's allowance
+	// that may arrive at once.
+	maxBurstFraction = 0.1
+	// minBurstRequests is the least number of requests that may arrive at
+	// once, also at low rates.
+	minBurstRequests = 1
 )
 
-// Growth admits requests from elsewhere. In each interval it admits at most what
-// it admitted from elsewhere in the last one, and Cap times all that it ran in
-// the last one besides.
+// Growth admits remote requests. In each interval it admits at most the remote
+// requests that it admitted in the last one, plus Cap times all requests that
+// ran in the last one.
 type Growth struct {
 	// Clock measures the intervals.
 	Clock clockwork.Clock
-	// Cap is the relative growth in an interval.
+	// Cap returns the relative growth per interval.
 	Cap func() float64
-	// Interval is the time for which Cap is meant.
+	// Interval returns the length of the interval to which Cap applies.
 	Interval func() time.Duration
-	// Idle is the rate, in requests a second, from which an idle domain grows.
+	// Idle returns the rate, in requests per second, from which an idle
+	// domain starts to grow.
 	Idle func() float64
 
-	mu        sync.Mutex
-	began     time.Time
-	elsewhere float64
-	all       float64
-	rate      float64
-	tokens    float64
-	filled    time.Time
+	mu             sync.Mutex
+	intervalStart  time.Time
+	remoteRequests float64
+	allRequests    float64
+	rate           float64
+	tokens         float64
+	refilledAt     time.Time
 }
 
-// Note counts a request of the domain's own callers that runs.
+// Note counts a request of the domain's own callers that ran.
 func (g *Growth) Note() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.turn(g.Clock.Now())
-	g.all++
+	g.startInterval(g.Clock.Now())
+	g.allRequests++
 }
 
-// Admit admits a request from elsewhere, or tells when to try again.
+// Admit admits a remote request, or returns the time after which to retry.
 func (g *Growth) Admit() (retry time.Duration, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := g.Clock.Now()
-	g.turn(n)
-	g.fill(n)
+	g.startInterval(n)
+	g.refill(n)
 	if g.tokens < 1 {
 		if g.rate <= 0 {
 			return g.Interval(), false
 		}
-		return time.Duration(math.Ceil((1 - g.tokens) / (g.rate * (1 - g.burst())) * float64(time.Second))), false
+		return time.Duration(math.Ceil((1 - g.tokens) / (g.rate * (1 - g.burstFraction())) * float64(time.Second))), false
 	}
 	g.tokens--
-	g.all++
-	g.elsewhere++
+	g.allRequests++
+	g.remoteRequests++
 	return 0, true
 }
 
@@ -73,41 +77,42 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tokens++
-	g.all = max(0, g.all-1)
-	g.elsewhere = max(0, g.elsewhere-1)
+	g.allRequests = max(0, g.allRequests-1)
+	g.remoteRequests = max(0, g.remoteRequests-1)
 }
 
-// turn begins a new interval when the last one is over.
-func (g *Growth) turn(now time.Time) {
+// startInterval begins a new interval when the last one is over.
+func (g *Growth) startInterval(now time.Time) {
 	i := g.Interval()
 	switch {
-	case g.began.IsZero():
-		g.began = now
-		g.filled = now
+	case g.intervalStart.IsZero():
+		g.intervalStart = now
+		g.refilledAt = now
 		g.rate = g.Cap() * g.Idle()
 		return
-	case now.Sub(g.began) < i:
+	case now.Sub(g.intervalStart) < i:
 		return
 	}
-	g.fill(g.began.Add(i))
-	t := now.Sub(g.began).Seconds()
-	g.rate = g.elsewhere/t + g.Cap()*max(g.all/t, g.Idle())
-	g.elsewhere = 0
-	g.all = 0
-	g.began = now
+	g.refill(g.intervalStart.Add(i))
+	t := now.Sub(g.intervalStart).Seconds()
+	g.rate = g.remoteRequests/t + g.Cap()*max(g.allRequests/t, g.Idle())
+	g.remoteRequests = 0
+	g.allRequests = 0
+	g.intervalStart = now
 }
 
-func (g *Growth) fill(now time.Time) {
-	if d := now.Sub(g.filled).Seconds(); d > 0 {
-		// The rest of the allowance is what comes at once.
-		g.tokens += d * g.rate * (1 - g.burst())
-		g.filled = now
+func (g *Growth) refill(now time.Time) {
+	if d := now.Sub(g.refilledAt).Seconds(); d > 0 {
+		// The remaining part of the allowance is the burst.
+		g.tokens += d * g.rate * (1 - g.burstFraction())
+		g.refilledAt = now
 	}
-	g.tokens = min(g.tokens, max(minBurst, g.burst()*g.rate*g.Interval().Seconds()))
+	g.tokens = min(g.tokens, max(minBurstRequests, g.burstFraction()*g.rate*g.Interval().Seconds()))
 }
 
-// burst is small enough that a domain which takes all that it may goes on
-// growing, also if the cap is small.
-func (g *Growth) burst() float64 {
-	return min(maxBurst, g.Cap()/2)
+// burstFraction returns the fraction of an interval's allowance that may arrive
+// at once. It is at most half of Cap, so that a domain that uses all of its
+// allowance continues to grow even if Cap is small.
+func (g *Growth) burstFraction() float64 {
+	return min(maxBurstFraction, g.Cap()/2)
 }
--- a/growth/growth_test.go
+++ b/growth/growth_test.go
@@ -18,11 +18,11 @@
 	}
 }
 
-// A region fails and its callers come here as fast as they can. If all were let
-// in, this domain would fail next and then the one after it. Whatever arrives,
-// an interval admits at most what the last one did and the cap's growth of it,
-// by the test's own count.
-func TestNeverFasterThanCap(t *testing.T) {
+// A region fails and its callers arrive as fast as they can. If all were
+// admitted, this domain would fail next, and then the one after it. For any
+// arrivals, an interval admits at most what the previous one did plus the
+// growth allowed by the cap. The test counts admissions itself.
+func TestAdmissionGrowthCapped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clockwork.NewFakeClock()
 		f := rapid.Float64Range(0.05, 1).Draw(t, "cap")
@@ -45,17 +45,17 @@
 			}
 			if i > 0 {
 				m := float64(last) + f*max(float64(lastAll), idle*interval.Seconds())
-				// One request may come at once whatever the rate is.
-				must.LessEq(t, m+minBurst+0.001, float64(n))
+				// One request may arrive at once whatever the rate is.
+				must.LessEq(t, m+minBurstRequests+0.001, float64(n))
 			}
 			last, lastAll = n, n+own
 		}
 	})
 }
 
-// The refused callers come again when they are told to. Then there must be room,
-// or they only add to the rush.
-func TestRetryIsTrue(t *testing.T) {
+// Refused callers retry after the returned delay. They must be admitted then;
+// otherwise retries only add to the overload.
+func TestRetryAfterDelaySucceeds(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	g := newGrowth(c, 0.5, 4)
 	for range 5 {
@@ -69,7 +69,8 @@
 	}
 }
 
-// An idle domain takes over a region step by step until it carries all of it.
+// An idle domain admits a growing part of another region's traffic until it
+// carries all of it.
 func TestGrowsToDemand(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	g := newGrowth(c, 0.5, 4)
