--- a/roster/roster.go
+++ b/roster/roster.go
@@ -11,31 +11,32 @@
 	"celeryreach.example/celeryreach/rendezvous"
 )
 
-// maxPreferred bounds the remembered preferences: anybody may ask in the name
-// of any account.
-const maxPreferred = 100_000
+// maxCachedPreferences limits the cache, since anyone may send look-ups with
+// any account name.
+const maxCachedPreferences = 100_000
 
-// Roster never changes but for what it remembers; a change of the hosts makes
-// a new one.
+// Roster is immutable except for its cache of preferences. A change of the
+// hosts requires a new Roster.
 type Roster struct {
-	// Regions are the names of the regions that have hosts, in order.
+	// Regions are the names of the regions that have hosts, sorted.
 	Regions []string
 
 	hosts   map[string][]member.Member
 	weights map[string][]float64
 	totals  map[string]float64
 
-	preferred sync.Map // of account and region to []int
-	count     atomic.Int64
+	preferences     sync.Map // preferenceKey to []int
+	preferenceCount atomic.Int64
 }
 
-type preference struct {
+type preferenceKey struct {
 	account, region string
 }
 
-// New returns the roster of the hosts that take new work. Slots returns how
-// many requests the backend servers of a failure domain run; each of its hosts
-// weighs an equal part of them, and at least one.
+// New returns the roster of the hosts that accept new requests. The function
+// slots returns how many requests the backend servers of a failure domain run
+// at once. Each host of the domain has an equal part of them as its weight, and
+// at least one.
 func New(m []member.Member, slots func(domain string) int) *Roster {
 	r := &Roster{hosts: make(map[string][]member.Member), weights: make(map[string][]float64), totals: make(map[string]float64)}
 	n := make(map[string]int)
@@ -65,12 +66,13 @@
 	return r.hosts[region], r.weights[region]
 }
 
-// Preferred returns the hosts of a region in the order that an account prefers,
-// the first n of them. It is worked out once for each account: the cost grows
-// with the hosts of the region.
+// Preferred returns the indexes of the first n hosts of a region in the order
+// that an account prefers. The result is cached by account and region, since
+// its cost grows with the number of hosts in the region. The cache does not
+// depend on n, so all calls must pass the same n.
 func (r *Roster) Preferred(account, region string, n int) []int {
-	k := preference{account: account, region: region}
-	if v, ok := r.preferred.Load(k); ok {
+	k := preferenceKey{account: account, region: region}
+	if v, ok := r.preferences.Load(k); ok {
 		return v.([]int)
 	}
 	h, w := r.Hosts(region)
@@ -82,19 +84,19 @@
 	}
 	sort.Slice(o, func(i, j int) bool { return s[o[i]] > s[o[j]] })
 	o = append([]int(nil), o[:min(n, len(o))]...)
-	if r.count.Load() < maxPreferred {
-		r.count.Add(1)
-		r.preferred.Store(k, o)
+	if r.preferenceCount.Load() < maxCachedPreferences {
+		r.preferenceCount.Add(1)
+		r.preferences.Store(k, o)
 	}
 	return o
 }
 
-// Equal reports whether both have the same hosts with the same weights.
+// Equal reports whether both rosters have the same hosts with the same weights.
 func (r *Roster) Equal(o *Roster) bool {
 	return reflect.DeepEqual(r.hosts, o.hosts) && reflect.DeepEqual(r.weights, o.weights)
 }
 
-// Weight returns the sum of a region's weights.
+// Weight returns the sum of the weights of a region's hosts.
 func (r *Roster) Weight(region string) float64 {
 	return r.totals[region]
 }
