--- a/route/route.go
+++ b/route/route.go
@@ -8,12 +8,12 @@
 	"celeryreach.example/celeryreach/segment"
 )
 
-// Points is the number of points that a route divides.
+// Points is the number of points that a route divides between regions.
 const Points = 1_000_000
 
 // Route maps each point to a region. Each client block has a fixed point, so
-// that moving a range of points moves exactly the blocks in it, and moving it
-// back brings back the same blocks.
+// moving a range of points moves exactly the blocks in it, and moving the range
+// back restores them.
 type Route struct {
 	// Service is the service whose requests are routed.
 	Service string
@@ -23,7 +23,7 @@
 	Segments []segment.Segment
 }
 
-// New returns the route that leaves every client block at home.
+// New returns the route that keeps every client block in its home region.
 func New(service, home string) Route {
 	return Route{Service: service, Home: home, Segments: []segment.Segment{{Until: Points, Region: home}}}
 }
@@ -47,7 +47,7 @@
 	return segment.Segment{Until: Points, Region: r.Home}
 }
 
-// Share returns how many points a region has.
+// Share returns the number of points of a region.
 func (r Route) Share(region string) int {
 	n := 0
 	b := 0
@@ -61,30 +61,30 @@
 }
 
 // Shift returns the route after moving up to n points from one region to
-// another. No other point changes its region. Points next to the destination's
-// own go first, so that the number of segments stays small.
+// another. No other point changes its region. Points adjacent to those of the
+// destination move first, which keeps the number of segments small.
 func (r Route) Shift(from, to string, n int) Route {
-	s := spread(r.Segments)
+	s := toPieces(r.Segments)
 	for n > 0 {
-		i, f := pick(s, from, to)
+		i, f := findPiece(s, from, to)
 		if i < 0 {
 			break
 		}
 		k := min(n, s[i].length)
 		n -= k
-		s = split(s, i, k, to, f)
+		s = splitPiece(s, i, k, to, f)
 	}
-	r.Segments = collect(s)
+	r.Segments = toSegments(s)
 	return r
 }
 
-// piece is a segment by its length.
+// piece is a segment described by its length.
 type piece struct {
 	region string
 	length int
 }
 
-func spread(s []segment.Segment) []piece {
+func toPieces(s []segment.Segment) []piece {
 	var r []piece
 	b := 0
 	for _, v := range s {
@@ -94,8 +94,9 @@
 	return r
 }
 
-// pick returns the piece to take from and whether to take from its front.
-func pick(s []piece, from, to string) (i int, front bool) {
+// findPiece returns the index of the piece to take points from, and whether to
+// take them from its front. The index is -1 if the region has none.
+func findPiece(s []piece, from, to string) (i int, front bool) {
 	l := -1
 	for i, p := range s {
 		if p.region != from {
@@ -112,8 +113,8 @@
 	return l, false
 }
 
-// split gives k points of piece i to a region.
-func split(s []piece, i, k int, to string, front bool) []piece {
+// splitPiece assigns k points of piece i to another region.
+func splitPiece(s []piece, i, k int, to string, front bool) []piece {
 	m := piece{region: to, length: k}
 	o := piece{region: s[i].region, length: s[i].length - k}
 	n := []piece{o, m}
@@ -121,10 +122,11 @@
 		n = []piece{m, o}
 	}
 	r := append(append(append([]piece(nil), s[:i]...), n...), s[i+1:]...)
-	return merge(r)
+	return mergePieces(r)
 }
 
-func merge(s []piece) []piece {
+// mergePieces drops empty pieces and joins adjacent ones of the same region.
+func mergePieces(s []piece) []piece {
 	var r []piece
 	for _, p := range s {
 		switch {
@@ -138,7 +140,7 @@
 	return r
 }
 
-func collect(s []piece) []segment.Segment {
+func toSegments(s []piece) []segment.Segment {
 	var r []segment.Segment
 	b := 0
 	for _, p := range s {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -13,8 +13,8 @@
 
 var regions = []string{"abuja", "lagos", "port-harcourt"}
 
-// After any shifts, the next one moves just as many points as it names, if the
-// region has them, and no point between two other regions.
+// After any shifts, the next shift moves exactly the number of points
+// requested, or all that the source region has, and no points of other regions.
 func TestShiftMovesOnlyItsPoints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := route.New("Listings", "lagos")
@@ -48,9 +48,9 @@
 	return m
 }
 
-// The baseline: regions by weighted rendezvous hashing. It reports how many
-// client blocks a shift of 5% from one region to another moves for each that
-// it has to.
+// BenchmarkShift compares segments with a baseline, weighted rendezvous hashing
+// of regions. It reports the number of client blocks that a shift of 5% from
+// one region to another moves, relative to the number that has to move.
 func BenchmarkShift(b *testing.B) {
 	const n = 200_000
 	o := map[string]float64{"abuja": 0.2, "lagos": 0.5, "port-harcourt": 0.3}
