--- a/segment/segment.go
+++ b/segment/segment.go
@@ -1,8 +1,8 @@
 // Package segment describes a range of points that goes to one region.
 package segment
 
-// Segment is one range of a route's points. It begins where the segment before
-// it ends.
+// Segment is one range of a route's points. It begins where the previous
+// segment ends.
 type Segment struct {
 	// Until is the first point after the segment.
 	Until int
