--- a/split/split.go
+++ b/split/split.go
@@ -1,4 +1,4 @@
-// Package split deals the requests of routes to services.
+// Package split distributes the requests of routes over services.
 package split
 
 import (
@@ -8,15 +8,17 @@
 	"celeryreach.example/celeryreach/portion"
 )
 
-// Split deals each route's requests in the proportion of its portions' weights, as
-// evenly as whole requests allow. Drawn at random, or by what they concern, the
-// parts would be off by more than operators set within any few seconds.
+// Split distributes each route's requests in proportion to the weights of its
+// portions, as evenly as the number of requests allows. Random or hash-based
+// selection would be too uneven: within a few seconds, the portions would
+// deviate too far from the weights that operators set.
 type Split struct {
-	mu  sync.Mutex
-	due map[string]map[string]float64 // what services are owed, by route
+	mu      sync.Mutex
+	credits map[string]map[string]float64 // by route and service
 }
 
-// Next returns the service of the route's next request, empty if it has none.
+// Next returns the service for the route's next request, or an empty string if
+// the route has none.
 func (s *Split) Next(i *ingress.Ingress) string {
 	switch len(i.Portions) {
 	case 0:
@@ -26,31 +28,32 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.due == nil {
-		s.due = make(map[string]map[string]float64)
+	if s.credits == nil {
+		s.credits = make(map[string]map[string]float64)
 	}
-	d := s.due[i.Name]
+	d := s.credits[i.Name]
 	if d == nil {
 		d = make(map[string]float64)
-		s.due[i.Name] = d
+		s.credits[i.Name] = d
 	}
-	return next(d, i.Portions)
+	return nextService(d, i.Portions)
 }
 
-// next is smooth weighted round robin: each service is owed its part of every
-// request, and the one that is owed most gets this one.
-func next(due map[string]float64, l []portion.Portion) string {
+// nextService implements smooth weighted round robin. Each request adds every
+// service's fraction to its credit; the service with the highest credit gets
+// the request and pays 1.
+func nextService(credits map[string]float64, l []portion.Portion) string {
 	t := 0.0
 	for _, p := range l {
 		t += p.Weight
 	}
 	m := l[0].Service
 	for _, p := range l {
-		due[p.Service] += p.Weight / t
-		if due[p.Service] > due[m] {
+		credits[p.Service] += p.Weight / t
+		if credits[p.Service] > credits[m] {
 			m = p.Service
 		}
 	}
-	due[m]--
+	credits[m]--
 	return m
 }
