--- a/portion/portion.go
+++ b/portion/portion.go
@@ -1,11 +1,11 @@
-// Package portion describes a service's part of a route.
+// Package portion describes a service's portion of a route's requests.
 package portion
 
 // Portion is one service that a route sends requests to.
 type Portion struct {
 	// Service names the service.
 	Service string
-	// Weight is the service's part of the route's requests, relative to the
-	// weights of the route's other portions.
+	// Weight is the portion of the route's requests that the service gets,
+	// relative to the weights of the route's other portions.
 	Weight float64
 }
