--- a/blockchunk/blockchunk.go
+++ b/blockchunk/blockchunk.go
@@ -1,5 +1,5 @@
-// Package blockchunk is the form in which client blocks are stored: in chunks,
-// of which a change replaces the few that it touches.
+// Package blockchunk encodes client blocks for storage. They are divided into
+// chunks, so that a change replaces only the few chunks that it affects.
 package blockchunk
 
 import (
@@ -14,23 +14,23 @@
 	"celeryreach.example/celeryreach/block"
 )
 
-// Count is the number of chunks: 2.2 million client blocks make chunks of about
-// 10 kB, and the list of their hashes has 266 kB.
+// Count is the number of chunks. With 2.2 million client blocks a chunk has
+// about 10 kB, and the list of hashes 266 kB.
 const Count = 4096
 
-// Empty stands for the hash of a chunk without client blocks.
+// Empty replaces the hash of a chunk without client blocks.
 const Empty = "-"
 
-// Index returns the chunk of a client block.
+// Index returns the index of the chunk that holds a client block.
 func Index(p netip.Prefix) int {
 	b, err := p.MarshalBinary()
 	if err != nil {
-		panic(err) // it never fails
+		panic(err) // MarshalBinary of a prefix never fails
 	}
 	return int(xxhash.Sum64(b) % Count)
 }
 
-// Format returns a chunk: a line for each client block, in order, so that the
+// Format encodes a chunk: one line for each client block, sorted, so that the
 // same blocks always have the same hash.
 func Format(l []block.Block) []byte {
 	s := make([]string, 0, len(l))
@@ -41,7 +41,7 @@
 	return []byte(strings.Join(s, ""))
 }
 
-// Parse reads a chunk, or an operator's list.
+// Parse decodes a chunk or an operator's list of client blocks.
 func Parse(b []byte) ([]block.Block, error) {
 	l := make([]block.Block, 0, bytes.Count(b, []byte{'\n'}))
 	for n, s := range strings.Split(string(b), "\n") {
@@ -58,16 +58,16 @@
 	return l, nil
 }
 
-// Hashes reads the list of the chunks' hashes.
+// Hashes decodes the list of the chunks' hashes.
 func Hashes(b []byte) ([]string, error) {
 	h := strings.Split(strings.TrimSuffix(string(b), "\n"), "\n")
 	if len(h) != Count {
-		return nil, errors.Errorf("%d chunks instead of %d", len(h), Count)
+		return nil, errors.Errorf("list of hashes has %d chunks, want %d", len(h), Count)
 	}
 	return h, nil
 }
 
-// Manifest returns the list of the chunks' hashes.
+// Manifest encodes the list of the chunks' hashes.
 func Manifest(h []string) []byte {
 	return []byte(strings.Join(h, "\n") + "\n")
 }
