--- a/blockfollower/blockfollower.go
+++ b/blockfollower/blockfollower.go
@@ -1,5 +1,5 @@
-// Package blockfollower keeps a host on the newest client blocks, of which it
-// fetches only the chunks that changed.
+// Package blockfollower keeps the newest client blocks on a host. It fetches
+// only the chunks that changed.
 package blockfollower
 
 import (
@@ -20,14 +20,16 @@
 	"celeryreach.example/celeryreach/store"
 )
 
-// Kind names the list of chunks in messages, ChunkKind a single chunk.
+// Kind identifies the list of chunks in messages between hosts, ChunkKind a
+// single chunk.
 const (
 	Kind      = "Blocks"
 	ChunkKind = "BlockChunk"
 )
 
-// workers is how many chunks are fetched at a time: a starting host needs all.
-const workers = 16
+// fetchWorkers is the number of chunks that are fetched in parallel. A host
+// that starts needs all chunks.
+const fetchWorkers = 16
 
 // Blockfollower applies only higher versions, from the platform or from peers.
 type Blockfollower struct {
@@ -35,15 +37,15 @@
 	Clock clockwork.Clock
 	// Log receives one line for each applied version.
 	Log *log.Logger
-	// Platform holds the row and the chunks.
+	// Platform stores the row and the chunks.
 	Platform store.Store
 	// Poll returns the time until the next read of the row.
 	Poll func() time.Duration
-	// Changed is called after a version was applied; nil calls nothing.
+	// Changed is called after a version was applied; it may be nil.
 	Changed func()
-	// Fetch asks peers for a chunk; nil when there are none.
+	// Fetch requests a chunk from peers; nil if there are no peers.
 	Fetch func(ctx context.Context, hash string) ([]byte, error)
-	// Timeout bounds the fetching of one version's chunks.
+	// Timeout limits the time to fetch the chunks of one version.
 	Timeout time.Duration
 
 	once    sync.Once
@@ -65,14 +67,15 @@
 	return f.table.Len()
 }
 
-// Chunk returns a chunk that this host has, for its peers.
+// Chunk returns the content of a chunk for a peer, nil if this host does not
+// have it.
 func (f *Blockfollower) Chunk(hash string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.chunks[hash]
 }
 
-// Replica returns what peers exchange.
+// Replica returns the copy of the list of chunks that is exchanged with peers.
 func (f *Blockfollower) Replica() *replica.Replica {
 	f.once.Do(func() {
 		f.replica = &replica.Replica{
@@ -83,29 +86,30 @@
 	return f.replica
 }
 
-// apply fetches the chunks that changed and changes the table by what differs
-// in them. A version whose chunks cannot all be had is refused whole and tried
-// again with the next read or digest; look-ups go on with the one before.
+// apply fetches the chunks that changed and updates the table with their
+// differences. If a chunk cannot be fetched, the complete version is rejected
+// and retried after the next read or digest; look-ups continue with the
+// previous version.
 func (f *Blockfollower) apply(_ uint64, _ string, content []byte) error {
 	h, err := blockchunk.Hashes(content)
 	if err != nil {
 		return err
 	}
-	o := f.old()
+	o := f.currentHashes()
 	var l []int
 	for i := range h {
 		if h[i] != o[i] {
 			l = append(l, i)
 		}
 	}
-	c, err := f.fetchAll(h, l)
+	c, err := f.fetchChunks(h, l)
 	if err != nil {
 		return err
 	}
 	var put []block.Block
 	var remove []netip.Prefix
 	for _, i := range l {
-		p, r, err := difference(f.Chunk(o[i]), c[h[i]])
+		p, r, err := chunkChanges(f.Chunk(o[i]), c[h[i]])
 		if err != nil {
 			return errors.Wrapf(err, "chunk %d", i)
 		}
@@ -115,12 +119,12 @@
 	if err := f.table.Change(put, remove); err != nil {
 		return err
 	}
-	f.keep(h, c)
+	f.storeChunks(h, c)
 	return nil
 }
 
-// old returns the hashes of the chunks in force.
-func (f *Blockfollower) old() []string {
+// currentHashes returns the hashes of the chunks in force.
+func (f *Blockfollower) currentHashes() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.hashes == nil {
@@ -132,8 +136,8 @@
 	return f.hashes
 }
 
-// fetchAll returns the chunks of the given places.
-func (f *Blockfollower) fetchAll(h []string, places []int) (map[string][]byte, error) {
+// fetchChunks returns the chunks with the given indexes, by hash.
+func (f *Blockfollower) fetchChunks(h []string, places []int) (map[string][]byte, error) {
 	x, s := clockwork.WithTimeout(context.Background(), f.Clock, f.Timeout)
 	defer s()
 	q := make(chan string, len(places))
@@ -145,10 +149,10 @@
 	close(q)
 	c := make(map[string][]byte, len(q))
 	var mu sync.Mutex
-	n := min(workers, len(q))
+	n := min(fetchWorkers, len(q))
 	d := make(chan error, n)
 	for range n {
-		go func() { d <- f.work(x, q, &mu, c) }()
+		go func() { d <- f.fetchQueued(x, q, &mu, c) }()
 	}
 	var r error
 	for range n {
@@ -159,9 +163,10 @@
 	return c, r
 }
 
-func (f *Blockfollower) work(ctx context.Context, q <-chan string, mu *sync.Mutex, c map[string][]byte) error {
+// fetchQueued fetches chunks into c until the queue of hashes is empty.
+func (f *Blockfollower) fetchQueued(ctx context.Context, q <-chan string, mu *sync.Mutex, c map[string][]byte) error {
 	for n := range q {
-		b, err := f.get(ctx, n)
+		b, err := f.fetchChunk(ctx, n)
 		if err != nil {
 			return err
 		}
@@ -172,9 +177,9 @@
 	return nil
 }
 
-// get asks the peers first: thousands of hosts that start would else read
-// thousands of chunks each from the platform.
-func (f *Blockfollower) get(ctx context.Context, hash string) ([]byte, error) {
+// fetchChunk tries the peers before the platform. Otherwise thousands of hosts
+// that start would each read thousands of chunks from the platform.
+func (f *Blockfollower) fetchChunk(ctx context.Context, hash string) ([]byte, error) {
 	if f.Fetch != nil {
 		if b, err := f.Fetch(ctx, hash); err == nil && accepted.Hash(b) == hash {
 			return b, nil
@@ -185,13 +190,13 @@
 		return nil, err
 	}
 	if accepted.Hash(b) != hash {
-		return nil, errors.Errorf("chunk does not have hash %s", hash)
+		return nil, errors.Errorf("content of the chunk does not match hash %s", hash)
 	}
 	return b, nil
 }
 
-// keep remembers the chunks in force and forgets the others.
-func (f *Blockfollower) keep(h []string, c map[string][]byte) {
+// storeChunks keeps the chunks in force and drops the others.
+func (f *Blockfollower) storeChunks(h []string, c map[string][]byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.chunks == nil {
@@ -208,8 +213,9 @@
 	f.hashes = h
 }
 
-// difference returns what leads from one chunk to another.
-func difference(a, b []byte) (put []block.Block, remove []netip.Prefix, err error) {
+// chunkChanges returns the client blocks to put and to remove to get from chunk
+// a to chunk b.
+func chunkChanges(a, b []byte) (put []block.Block, remove []netip.Prefix, err error) {
 	x, err := blockchunk.Parse(a)
 	if err != nil {
 		return nil, nil, err
--- a/blockfollower/blockfollower_test.go
+++ b/blockfollower/blockfollower_test.go
@@ -23,15 +23,15 @@
 	"celeryreach.example/celeryreach/table"
 )
 
-// shelf is a platform in memory whose objects can be out.
-type shelf struct {
-	table   table.Table
-	mu      sync.Mutex
-	objects map[string][]byte
-	out     bool
+// memoryPlatform is a platform in memory whose objects can be unavailable.
+type memoryPlatform struct {
+	table       table.Table
+	mu          sync.Mutex
+	objects     map[string][]byte
+	unavailable bool
 }
 
-func (s *shelf) platform() store.Store {
+func (s *memoryPlatform) platform() store.Store {
 	return store.Store{
 		Read:   func(_ context.Context, k string) (row.Row, error) { return s.table.Read(k), nil },
 		Commit: func(_ context.Context, c commit.Commit) (bool, error) { return s.table.Commit(c), nil },
@@ -44,7 +44,7 @@
 		GetObject: func(_ context.Context, k string) ([]byte, error) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.out {
+			if s.unavailable {
 				return nil, io.ErrUnexpectedEOF
 			}
 			return s.objects[k], nil
@@ -52,20 +52,19 @@
 	}
 }
 
-func follow(p store.Store) *blockfollower.Blockfollower {
+func newFollower(p store.Store) *blockfollower.Blockfollower {
 	return &blockfollower.Blockfollower{Clock: clockwork.NewFakeClock(), Log: log.New(io.Discard), Platform: p, Timeout: time.Minute}
 }
 
 // A host that follows each version and one that starts at the end, with chunks
-// from its peer only, must both steer every address like the list that was
-// published. While the chunks cannot be had, look-ups go on with the version
-// before.
-func TestFollow(t *testing.T) {
+// from its peer only, both find the published block of every address. While
+// chunks are unavailable, look-ups continue with the previous version.
+func TestFollowersMatchPublishedBlocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
-		s := &shelf{objects: make(map[string][]byte)}
+		s := &memoryPlatform{objects: make(map[string][]byte)}
 		p := &blockpublish.Blockpublish{Clock: clockwork.NewFakeClock(), Platform: s.platform()}
-		f := follow(s.platform())
+		f := newFollower(s.platform())
 		l := make(map[netip.Prefix]string)
 		for range rapid.IntRange(1, 8).Draw(t, "versions") {
 			var put []block.Block
@@ -82,21 +81,21 @@
 			}
 			_, err := p.Change(ctx, put, remove)
 			must.NoError(t, err)
-			s.out = rapid.Bool().Draw(t, "out")
+			s.unavailable = rapid.Bool().Draw(t, "out")
 			_ = f.Replica().Poll(ctx)
-			s.out = false
+			s.unavailable = false
 			must.NoError(t, f.Replica().Poll(ctx))
-			same(t, f, l)
+			assertBlocks(t, f, l)
 		}
-		s.out = true
-		g := follow(s.platform())
+		s.unavailable = true
+		g := newFollower(s.platform())
 		g.Fetch = func(_ context.Context, h string) ([]byte, error) { return f.Chunk(h), nil }
 		must.NoError(t, g.Replica().Offer(f.Replica().Content()))
-		same(t, g, l)
+		assertBlocks(t, g, l)
 	})
 }
 
-func same(t must.T, f *blockfollower.Blockfollower, l map[netip.Prefix]string) {
+func assertBlocks(t must.T, f *blockfollower.Blockfollower, l map[netip.Prefix]string) {
 	must.EqOp(t, len(l), f.Len())
 	for p, r := range l {
 		q, n, ok := f.Find(p.Addr())
@@ -106,12 +105,12 @@
 	}
 }
 
-// BenchmarkVersion is what a host pays for one changed block at the size of two
-// years: the list of chunks, one chunk, the table.
+// BenchmarkVersion measures a host's cost of one changed block at the size
+// expected in two years: the list of chunks, one chunk, and the table.
 func BenchmarkVersion(b *testing.B) {
 	const n = 2_200_000
 	ctx := context.Background()
-	s := &shelf{objects: make(map[string][]byte)}
+	s := &memoryPlatform{objects: make(map[string][]byte)}
 	p := &blockpublish.Blockpublish{Clock: clockwork.NewFakeClock(), Platform: s.platform()}
 	l := make([]block.Block, n)
 	for i := range l {
@@ -119,7 +118,7 @@
 	}
 	_, err := p.Change(ctx, l, nil)
 	must.NoError(b, err)
-	f := follow(s.platform())
+	f := newFollower(s.platform())
 	must.NoError(b, f.Replica().Poll(ctx))
 	must.EqOp(b, n, f.Len())
 	b.ResetTimer()
