--- a/blockpublish/blockpublish.go
+++ b/blockpublish/blockpublish.go
@@ -1,4 +1,5 @@
-// Package blockpublish changes the client blocks on the platform.
+// Package blockpublish changes the client blocks that are stored on the
+// platform.
 package blockpublish
 
 import (
@@ -15,31 +16,31 @@
 	"celeryreach.example/celeryreach/store"
 )
 
-const tries = 5
+const maxAttempts = 5
 
-// Blockpublish makes new versions of the client blocks.
+// Blockpublish publishes new versions of the client blocks.
 type Blockpublish struct {
-	// Clock paces the reading back after a lost answer.
+	// Clock paces the reads that check a commit whose answer was lost.
 	Clock clockwork.Clock
-	// Platform holds the chunks and the row.
+	// Platform stores the row and the chunks.
 	Platform store.Store
 }
 
-// Change puts some client blocks and removes others. Two changes at once do not
-// conflict unless they name the same block, and then the later one holds: the
-// second is made again from the version that the first has left.
+// Change puts some client blocks and removes others. Concurrent changes
+// conflict only if they name the same block, and then the later one wins: the
+// second change is applied again to the version that the first one published.
 func (p *Blockpublish) Change(ctx context.Context, put []block.Block, remove []netip.Prefix) (accepted.Accepted, error) {
 	u := &publish.Publish{Clock: p.Clock, Platform: p.Platform, Key: accepted.BlocksKey}
-	for range tries {
+	for range maxAttempts {
 		a, _, err := u.Current(ctx)
 		if err != nil {
 			return a, err
 		}
-		h, err := p.chunks(ctx, a)
+		h, err := p.chunkHashes(ctx, a)
 		if err != nil {
 			return a, err
 		}
-		if err := p.edit(ctx, h, put, remove); err != nil {
+		if err := p.storeChanges(ctx, h, put, remove); err != nil {
 			return a, err
 		}
 		n, ok, err := u.Commit(ctx, a.Version, blockchunk.Manifest(h))
@@ -47,11 +48,11 @@
 			return n, err
 		}
 	}
-	return accepted.Accepted{}, errors.New("others change the client blocks at the same time; nothing was changed")
+	return accepted.Accepted{}, errors.New("too many concurrent changes of the client blocks; nothing was changed")
 }
 
-// chunks returns the hashes of the accepted chunks.
-func (p *Blockpublish) chunks(ctx context.Context, a accepted.Accepted) ([]string, error) {
+// chunkHashes returns the hashes of the accepted chunks.
+func (p *Blockpublish) chunkHashes(ctx context.Context, a accepted.Accepted) ([]string, error) {
 	if a.Version == 0 {
 		h := make([]string, blockchunk.Count)
 		for i := range h {
@@ -66,17 +67,17 @@
 	return blockchunk.Hashes(b)
 }
 
-// edit stores the touched chunks and sets their hashes.
-func (p *Blockpublish) edit(ctx context.Context, h []string, put []block.Block, remove []netip.Prefix) error {
+// storeChanges stores the chunks that change and sets their hashes in h.
+func (p *Blockpublish) storeChanges(ctx context.Context, h []string, put []block.Block, remove []netip.Prefix) error {
 	t := make(map[int]map[netip.Prefix]string)
 	for _, r := range remove {
-		if err := p.load(ctx, h, t, blockchunk.Index(r)); err != nil {
+		if err := p.loadChunk(ctx, h, t, blockchunk.Index(r)); err != nil {
 			return err
 		}
 		delete(t[blockchunk.Index(r)], r)
 	}
 	for _, v := range put {
-		if err := p.load(ctx, h, t, blockchunk.Index(v.Prefix)); err != nil {
+		if err := p.loadChunk(ctx, h, t, blockchunk.Index(v.Prefix)); err != nil {
 			return err
 		}
 		t[blockchunk.Index(v.Prefix)][v.Prefix] = v.Region
@@ -99,7 +100,9 @@
 	return nil
 }
 
-func (p *Blockpublish) load(ctx context.Context, h []string, t map[int]map[netip.Prefix]string, i int) error {
+// loadChunk reads the client blocks of chunk i into t, unless they are there
+// already.
+func (p *Blockpublish) loadChunk(ctx context.Context, h []string, t map[int]map[netip.Prefix]string, i int) error {
 	if t[i] != nil {
 		return nil
 	}
@@ -112,7 +115,7 @@
 		return err
 	}
 	if accepted.Hash(b) != h[i] {
-		return errors.Errorf("chunk %d: content does not have hash %s", i, h[i])
+		return errors.Errorf("chunk %d: content does not match hash %s", i, h[i])
 	}
 	l, err := blockchunk.Parse(b)
 	if err != nil {
