--- a/blocktable/blocktable.go
+++ b/blocktable/blocktable.go
@@ -12,12 +12,12 @@
 	"celeryreach.example/celeryreach/block"
 )
 
-// maxRegions bounds the regions of one table: a block keeps its region in one
-// byte, which is what lets millions of blocks fit.
+// maxRegions limits the regions of one table. A block stores its region in one
+// byte, so that millions of blocks fit in memory.
 const maxRegions = 255
 
 // Blocktable maps addresses to client blocks by the longest prefix. Readers
-// take no lock; a change copies only the nodes on its way from the root.
+// take no lock; a change copies only the nodes on the path from the root.
 type Blocktable struct {
 	mu      sync.Mutex
 	regions atomic.Pointer[[]string]
@@ -46,14 +46,14 @@
 	return 0
 }
 
-// Replace builds the table anew. Look-ups go on with the old one meanwhile.
+// Replace builds a new table. Look-ups use the old one until it is complete.
 func (b *Blocktable) Replace(l []block.Block) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := new(bart.Table[uint8])
 	var r []string
 	for _, v := range l {
-		i, n, err := index(r, v.Region)
+		i, n, err := regionIndex(r, v.Region)
 		if err != nil {
 			return err
 		}
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// Change puts some client blocks and removes others, in time that depends on
-// their number and not on the table's.
+// Change puts some client blocks and removes others. The time depends on the
+// number of changes, not on the size of the table.
 func (b *Blocktable) Change(put []block.Block, remove []netip.Prefix) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,29 +82,30 @@
 		t = t.DeletePersist(p)
 	}
 	for _, v := range put {
-		i, n, err := index(r, v.Region)
+		i, n, err := regionIndex(r, v.Region)
 		if err != nil {
 			return err
 		}
 		r = n
 		t = t.InsertPersist(v.Prefix, i)
 	}
-	// The names go first: a reader must never meet an index without a name.
+	// The names are stored first: a reader must never find an index without
+	// a name.
 	b.regions.Store(&r)
 	b.table.Store(t)
 	return nil
 }
 
-// index returns the index of a region's name and the names with it. The old
-// names keep their places, and their slice is never written to.
-func index(names []string, region string) (uint8, []string, error) {
+// regionIndex returns the index of a region's name, and the names including it.
+// Existing names keep their indexes, and their slice is never written to.
+func regionIndex(names []string, region string) (uint8, []string, error) {
 	for i, n := range names {
 		if n == region {
 			return uint8(i), names, nil
 		}
 	}
 	if len(names) == maxRegions {
-		return 0, nil, errors.Errorf("client blocks name more than %d regions", maxRegions)
+		return 0, nil, errors.Errorf("client blocks refer to more than %d regions", maxRegions)
 	}
 	return uint8(len(names)), append(names[:len(names):len(names)], region), nil
 }
--- a/blocktable/blocktable_test.go
+++ b/blocktable/blocktable_test.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	twoYears  = 2_200_000
-	sixEach   = 8 // one block in so many is an IPv6 range
-	fourBytes = 4
+	benchmarkBlocks = 2_200_000
+	blocksPerIPv6   = 8 // one block in this many is an IPv6 range
+	ipv4Bytes       = 4
 )
 
-// A table that was changed step by step answers like a list that is searched
-// from end to end, whatever was put and removed.
+// A table that was changed step by step finds the same blocks as a linear
+// search of a list, whatever was put and removed.
 func TestLongestPrefix(t *testing.T) {
 	g := rapid.Custom(func(t *rapid.T) netip.Prefix {
 		a := netip.AddrFrom4([4]byte{10, byte(rapid.IntRange(0, 3).Draw(t, "b")), byte(rapid.IntRange(0, 3).Draw(t, "c")), 0})
@@ -56,13 +56,14 @@
 	})
 }
 
-// blocks draws client blocks like those of the Internet: mostly /24 and /48.
-func blocks(n int) []block.Block {
+// randomBlocks returns client blocks with prefix lengths like those of the
+// Internet, mostly /24 and /48.
+func randomBlocks(n int) []block.Block {
 	r := rand.New(rand.NewPCG(1, 2))
 	h := make(map[netip.Prefix]bool, n)
 	o := make([]block.Block, 0, n)
 	for len(o) < n {
-		p := draw(r)
+		p := randomPrefix(r)
 		if !h[p] {
 			h[p] = true
 			o = append(o, block.Block{Prefix: p, Region: strconv.Itoa(len(o) % 9)})
@@ -71,10 +72,10 @@
 	return o
 }
 
-func draw(r *rand.Rand) netip.Prefix {
-	b := make([]byte, fourBytes)
+func randomPrefix(r *rand.Rand) netip.Prefix {
+	b := make([]byte, ipv4Bytes)
 	l := []int{16, 18, 19, 20, 21, 22, 22, 23, 24, 24, 24, 24, 24, 24, 24, 24}
-	if r.IntN(sixEach) == 0 {
+	if r.IntN(blocksPerIPv6) == 0 {
 		b = make([]byte, 16)
 		l = []int{32, 36, 40, 44, 48, 48, 48, 48}
 	}
@@ -87,8 +88,9 @@
 	return p
 }
 
-// heap collects twice: pooled buffers outlive one collection.
-func heap() uint64 {
+// heapBytes runs the garbage collector twice, since pooled buffers survive one
+// collection.
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -97,11 +99,11 @@
 }
 
 func BenchmarkFind(b *testing.B) {
-	l := blocks(twoYears)
+	l := randomBlocks(benchmarkBlocks)
 	var t blocktable.Blocktable
-	h := heap()
+	h := heapBytes()
 	must.NoError(b, t.Replace(l))
-	h = heap() - h
+	h = heapBytes() - h
 	for i := 0; b.Loop(); i++ {
 		t.Find(l[i*7919%len(l)].Prefix.Addr())
 	}
@@ -109,7 +111,7 @@
 }
 
 func BenchmarkChangeOne(b *testing.B) {
-	l := blocks(twoYears)
+	l := randomBlocks(benchmarkBlocks)
 	var t blocktable.Blocktable
 	must.NoError(b, t.Replace(l))
 	for i := 0; b.Loop(); i++ {
@@ -119,9 +121,10 @@
 	}
 }
 
-// The baseline: each change builds the whole table anew.
+// BenchmarkReplaceAll is the baseline in which each change rebuilds the
+// complete table.
 func BenchmarkReplaceAll(b *testing.B) {
-	l := blocks(twoYears)
+	l := randomBlocks(benchmarkBlocks)
 	var t blocktable.Blocktable
 	for b.Loop() {
 		must.NoError(b, t.Replace(l))
