--- a/linklimit/linklimit.go
+++ b/linklimit/linklimit.go
@@ -1,5 +1,5 @@
-// Package linklimit keeps the bytes that hosts send each other between regions
-// below the limits of the links.
+// Package linklimit keeps the bytes that hosts send to each other between
+// regions below the limits of the links.
 package linklimit
 
 import (
@@ -11,23 +11,25 @@
 	"celeryreach.example/celeryreach/link"
 )
 
-// Prefix starts the names of the limits that are links; the sending and the
+// Prefix begins the names of limits that belong to links; the sending and the
 // receiving region follow.
 const Prefix = "link/"
 
-// window is how much of a second's bytes may be sent at once.
-const window = 0.25
+// burstSeconds is the time whose bytes may be sent at once.
+const burstSeconds = 0.25
 
 // Linklimit counts the bytes that this host sends on each link against its part
-// of the link. A message is sent unless earlier ones took too much, whatever its size,
-// and what it took too much is missing later: over any time t a host sends at
-// most its part of the bytes in t, of the window, and one message more.
+// of the link's capacity. A message is sent, whatever its size, unless earlier
+// messages took too much; the excess is deducted from what may be sent later.
+// In any time t a host sends at most its part of the bytes for t and
+// burstSeconds, plus one message.
 type Linklimit struct {
 	// Clock measures the time.
 	Clock clockwork.Clock
 	// Links returns the limits in force.
 	Links func() []link.Link
-	// Part returns the part of a limit that this host may use now, in 0..1.
+	// Part returns the fraction of a limit that this host may use now, in
+	// 0..1.
 	Part func(limit string) float64
 
 	mu      sync.Mutex
@@ -39,10 +41,11 @@
 	at    time.Time
 }
 
-// Take admits a message of probably n bytes. The function it returns corrects
-// that by what was sent. A refused sender is told when to try again.
+// Take admits a message of an estimated n bytes. The returned function corrects
+// the estimate to the bytes that were sent. If the message is refused, retry is
+// the time after which to try again.
 func (l *Linklimit) Take(from, to string, n int64) (sent func(n int64), retry time.Duration, ok bool) {
-	k, ok := l.find(from, to)
+	k, ok := l.findLink(from, to)
 	if !ok {
 		return func(int64) {}, 0, true
 	}
@@ -50,7 +53,7 @@
 	r := float64(k.BytesPerSecond) * l.Part(m)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.bucket(m, r)
+	b := l.refilledBucket(m, r)
 	if r <= 0 {
 		return nil, time.Second, false
 	}
@@ -65,9 +68,10 @@
 	}, 0, true
 }
 
-// bucket returns the bucket as it stands now. A new one is empty: this host may
-// have replaced one that has just used the same part.
-func (l *Linklimit) bucket(limit string, rate float64) *bucket {
+// refilledBucket returns the bucket with the bytes added since its last use. A
+// new bucket is empty: this host may have replaced one that has just used the
+// same part.
+func (l *Linklimit) refilledBucket(limit string, rate float64) *bucket {
 	if l.buckets == nil {
 		l.buckets = make(map[string]*bucket)
 	}
@@ -77,12 +81,12 @@
 		b = &bucket{at: n}
 		l.buckets[limit] = b
 	}
-	b.bytes = min(b.bytes+rate*n.Sub(b.at).Seconds(), rate*window)
+	b.bytes = min(b.bytes+rate*n.Sub(b.at).Seconds(), rate*burstSeconds)
 	b.at = n
 	return b
 }
 
-func (l *Linklimit) find(from, to string) (link.Link, bool) {
+func (l *Linklimit) findLink(from, to string) (link.Link, bool) {
 	if from == to {
 		return link.Link{}, false
 	}
--- a/linklimit/linklimit_test.go
+++ b/linklimit/linklimit_test.go
@@ -11,11 +11,11 @@
 	"celeryreach.example/celeryreach/link"
 )
 
-// The link between two regions is shared by all traffic. Hosts that overfill it
-// delay everybody's answers, heartbeats included. Whatever is sent, and however
-// wrong the estimates are, a window of time holds at most the part of its bytes,
-// the bytes that may be sent at once, and the last message.
-func TestNeverOverPart(t *testing.T) {
+// The link between two regions is shared by all traffic. Hosts that exceed its
+// capacity delay everyone's answers, including heartbeats. Whatever is sent,
+// and however wrong the estimates are, any period has at most the host's part
+// of its bytes, the bytes that may be sent at once, and the last message.
+func TestSentBytesWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clockwork.NewFakeClock()
 		l := &Linklimit{
@@ -45,15 +45,15 @@
 			for _, m := range sent[i:] {
 				sum += m.bytes
 				w := m.at.Sub(sent[i].at).Seconds()
-				must.LessEq(t, 500*(w+window)+float64(largest)+1, float64(sum))
+				must.LessEq(t, 500*(w+burstSeconds)+float64(largest)+1, float64(sum))
 			}
 		}
 	})
 }
 
-// Inside a region, and between regions without a listed link, nothing is counted.
-// A host without a part sends nothing.
-func TestUnlisted(t *testing.T) {
+// Within a region, and between regions without a listed link, bytes are not
+// counted. A host whose part of a listed link is zero sends nothing.
+func TestUnlistedLinksUnlimited(t *testing.T) {
 	p := 0.0
 	l := &Linklimit{
 		Clock: clockwork.NewFakeClock(), Links: func() []link.Link { return []link.Link{{From: "a", To: "b", BytesPerSecond: 1}} },
