--- a/link/link.go
+++ b/link/link.go
@@ -7,6 +7,6 @@
 	From string
 	// To is the receiving region.
 	To string
-	// BytesPerSecond is its capacity, shared by all traffic.
+	// BytesPerSecond is the capacity of the link, shared by all traffic.
 	BytesPerSecond int64
 }
