--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter counts what a host serves, for the planner.
+// Package meter counts the requests and look-ups of a host for the planner.
 package meter
 
 import (
@@ -8,29 +8,30 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// Meter counts since the process started: a lost heartbeat loses nothing, and
-// a reader takes differences.
+// Meter holds counters that start with the process. Readers take differences,
+// so a lost heartbeat loses no counts.
 type Meter struct {
 	mu      sync.Mutex
-	served  map[string]*wire.Load
-	origins map[origin]uint64
+	loads   map[string]*wire.Load
+	lookups map[lookupOrigin]uint64
 }
 
-type origin struct {
+type lookupOrigin struct {
 	service, region string
 }
 
-// Served counts one request that was run or refused.
+// Served counts one request that was run or refused. The duration is that of a
+// successful answer.
 func (m *Meter) Served(service string, d time.Duration, failed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.served == nil {
-		m.served = make(map[string]*wire.Load)
+	if m.loads == nil {
+		m.loads = make(map[string]*wire.Load)
 	}
-	l := m.served[service]
+	l := m.loads[service]
 	if l == nil {
 		l = &wire.Load{Service: service}
-		m.served[service] = l
+		m.loads[service] = l
 	}
 	if failed {
 		l.Failures++
@@ -44,24 +45,24 @@
 func (m *Meter) Asked(service, region string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.origins == nil {
-		m.origins = make(map[origin]uint64)
+	if m.lookups == nil {
+		m.lookups = make(map[lookupOrigin]uint64)
 	}
-	m.origins[origin{service: service, region: region}]++
+	m.lookups[lookupOrigin{service: service, region: region}]++
 }
 
-// Fill adds the counts to a heartbeat that already has its loads.
+// Fill adds the counters to a heartbeat that already has its loads.
 func (m *Meter) Fill(h *wire.Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range h.Loads {
-		if c := m.served[l.Service]; c != nil {
+		if c := m.loads[l.Service]; c != nil {
 			l.Answers = c.Answers
 			l.Failures = c.Failures
 			l.AnswerNanoseconds = c.AnswerNanoseconds
 		}
 	}
-	for o, n := range m.origins {
+	for o, n := range m.lookups {
 		h.Origins = append(h.Origins, &wire.Origin{Service: o.service, Region: o.region, Lookups: n})
 	}
 }
