--- a/why/why.go
+++ b/why/why.go
@@ -1,4 +1,4 @@
-// Package why describes the reasons of a look-up answer.
+// Package why describes the reasons for a look-up answer.
 package why
 
 import (
@@ -7,13 +7,14 @@
 	"celeryreach.example/celeryreach/segment"
 )
 
-// Why tells why a caller goes where it goes, as the asked host sees it.
+// Why explains where a caller is steered, as seen by the host that answers.
 type Why struct {
-	// Answer is what the caller gets.
+	// Answer is the answer to the caller.
 	Answer answer.Answer
-	// Refusal says why it gets nothing.
+	// Refusal is the reason if the caller is refused.
 	Refusal outcome.Outcome `json:",omitzero"`
-	// Block is the caller's client block, empty when no block has its address.
+	// Block is the caller's client block, empty if no block contains the
+	// caller's address.
 	Block string `json:",omitzero"`
 	// Home is the region that is nearest to the caller.
 	Home string
@@ -22,12 +23,14 @@
 	// Route divides the points of the home region's callers between regions.
 	Route []segment.Segment
 	// Weights are the plan's weights of failure domains that are drained or
-	// come back.
+	// returning to service.
 	Weights map[string]float64 `json:",omitzero"`
-	// PlanReason says what the plan changed.
+	// PlanReason describes what the plan changed.
 	PlanReason string `json:",omitzero"`
-	// Lost are regions of which no host was heard for long.
+	// Lost are the regions whose hosts have sent no heartbeat for a long
+	// time.
 	Lost []string `json:",omitzero"`
-	// Leaving are hosts that are shutting down and are not named.
+	// Leaving are the hosts that are shutting down and therefore not part
+	// of the answer.
 	Leaving []string `json:",omitzero"`
 }
