--- a/relaytrial/relaytrial.go
+++ b/relaytrial/relaytrial.go
@@ -1,6 +1,6 @@
-// Package relaytrial counts the rounds, messages and bytes that one version
-// takes through a large fleet, with the real relay and a network of function
-// calls.
+// Package relaytrial counts the rounds, messages and bytes needed to distribute
+// one version in a large fleet. It uses the real relay and replaces the network
+// by function calls.
 package relaytrial
 
 import (
@@ -25,13 +25,14 @@
 
 const maxRounds = 50
 
-// Relaytrial builds a fleet whose hosts know the hosts of their site; the
-// first host of a site knows those of the other sites of its failure domain,
-// and the first host of a failure domain knows those of the other domains.
+// Relaytrial builds a fleet in which each host knows the hosts of its site. The
+// first host of a site also knows those of the other sites of its failure
+// domain, and the first host of a failure domain those of the other domains.
 type Relaytrial struct {
-	// Out receives the figures.
+	// Out receives the results.
 	Out io.Writer
-	// Hosts, Sites and Domains are the fleet's sizes.
+	// Hosts, Sites and Domains are the numbers of hosts, sites and failure
+	// domains in the fleet.
 	Hosts, Sites, Domains int
 	// Content is the size of the configuration in bytes.
 	Content int
@@ -39,53 +40,53 @@
 	nodes []*node
 	byID  map[string]*node
 
-	mu       sync.Mutex
-	messages int
-	bytes    int
-	busiest  map[string]int
-	told     map[string]bool
+	mu          sync.Mutex
+	messages    int
+	bytes       int
+	bytesByHost map[string]int
+	notified    map[string]bool
 }
 
 type node struct {
-	self  member.Member
-	peers []member.Member
-	relay *relay.Relay
-	held  *replica.Replica
+	self    member.Member
+	peers   []member.Member
+	relay   *relay.Relay
+	replica *replica.Replica
 }
 
-// Run relays two versions, the second by deltas, and prints what it took.
+// Run distributes two versions, the second one by deltas, and prints the costs.
 func (t *Relaytrial) Run(ctx context.Context) error {
 	t.build()
 	var b []byte
 	for i := 0; len(b) < t.Content; i++ {
 		b = fmt.Appendf(b, `{"Name":"account-%d","Rate":10,"Burst":5}`, i)
 	}
-	if err := t.spread(ctx, 1, b); err != nil {
+	if err := t.distribute(ctx, 1, b); err != nil {
 		return err
 	}
 	c := append([]byte(nil), b...)
 	c[len(c)/2] = 'x'
-	return t.spread(ctx, 2, c)
+	return t.distribute(ctx, 2, c)
 }
 
-func (t *Relaytrial) spread(ctx context.Context, version uint64, content []byte) error {
+func (t *Relaytrial) distribute(ctx context.Context, version uint64, content []byte) error {
 	t.messages = 0
 	t.bytes = 0
-	t.told = make(map[string]bool)
-	t.busiest = make(map[string]int)
+	t.notified = make(map[string]bool)
+	t.bytesByHost = make(map[string]int)
 	n := t.nodes[len(t.nodes)/2]
-	if err := n.held.Offer(version, accepted.Hash(content), content); err != nil {
+	if err := n.replica.Offer(version, accepted.Hash(content), content); err != nil {
 		return err
 	}
 	r := 0
-	for ; t.behind(version) > 0; r++ {
+	for ; t.countBehind(version) > 0; r++ {
 		if r == maxRounds {
-			return errors.Errorf("%d hosts lack version %d after %d rounds", t.behind(version), version, r)
+			return errors.Errorf("%d hosts lack version %d after %d rounds", t.countBehind(version), version, r)
 		}
-		t.round(ctx, version)
+		t.runRound(ctx, version)
 	}
 	m := 0
-	for _, k := range t.busiest {
+	for _, k := range t.bytesByHost {
 		m = max(m, k)
 	}
 	fmt.Fprintf(t.Out, "%d hosts, version %d of %d bytes: %d rounds, %d messages, %d bytes a host on average, %d at the busiest\n",
@@ -93,15 +94,16 @@
 	return nil
 }
 
-// round lets the hosts that have the version tell of it, and then those that
-// had been told before the round's fetches fetch: one notice and one fetch.
-func (t *Relaytrial) round(ctx context.Context, version uint64) {
-	for _, x := range t.with(version, true) {
+// runRound lets the hosts that have the version send notices. Then the hosts
+// that were notified before the first fetch of the round fetch the version. A
+// round is thus one notice and one fetch.
+func (t *Relaytrial) runRound(ctx context.Context, version uint64) {
+	for _, x := range t.nodesWith(version, true) {
 		x.relay.Pass(ctx)
 	}
 	var h []*node
-	for _, x := range t.with(version, false) {
-		if t.told[x.self.Name] {
+	for _, x := range t.nodesWith(version, false) {
+		if t.notified[x.self.Name] {
 			h = append(h, x)
 		}
 	}
@@ -110,19 +112,19 @@
 	}
 }
 
-// with returns the hosts that have a version, or those that lack it.
-func (t *Relaytrial) with(version uint64, has bool) []*node {
+// nodesWith returns the hosts that have a version, or those that lack it.
+func (t *Relaytrial) nodesWith(version uint64, has bool) []*node {
 	var r []*node
 	for _, x := range t.nodes {
-		if (x.held.Digest().Version >= version) == has {
+		if (x.replica.Digest().Version >= version) == has {
 			r = append(r, x)
 		}
 	}
 	return r
 }
 
-func (t *Relaytrial) behind(version uint64) int {
-	return len(t.with(version, false))
+func (t *Relaytrial) countBehind(version uint64) int {
+	return len(t.nodesWith(version, false))
 }
 
 func (t *Relaytrial) build() {
@@ -135,10 +137,10 @@
 		m := member.Member{Name: fmt.Sprintf("host-%04d", i), Domain: fmt.Sprintf("domain-%02d", d), Region: fmt.Sprintf("site-%03d", s)}
 		m.PeerAddress = m.Name
 		n := &node{self: m}
-		n.held = &replica.Replica{Kind: "Config", Log: l, Apply: func(uint64, string, []byte) error { return nil }}
+		n.replica = &replica.Replica{Kind: "Config", Log: l, Apply: func(uint64, string, []byte) error { return nil }}
 		n.relay = &relay.Relay{
 			Clock: c, Log: l, Self: func() member.Member { return n.self }, Peers: func() []member.Member { return n.peers },
-			Replicas: []*replica.Replica{n.held}, Fanout: 16, Timeout: time.Second, Retry: time.Second,
+			Replicas: []*replica.Replica{n.replica}, Fanout: 16, Timeout: time.Second, Retry: time.Second,
 			Fetch: func(_ context.Context, to string, f *wire.FetchRequest) (*wire.FetchResponse, error) {
 				return t.fetch(n, to, f)
 			},
@@ -150,7 +152,7 @@
 	t.connect()
 }
 
-// connect gives each host its peers.
+// connect sets the peers of each host.
 func (t *Relaytrial) connect() {
 	s := make(map[string][]*node)
 	d := make(map[string][]*node)
@@ -172,13 +174,13 @@
 		sort.Strings(k)
 		for _, n := range k {
 			for _, a := range g[n] {
-				a.join(g[n])
+				a.addPeers(g[n])
 			}
 		}
 	}
 }
 
-func (n *node) join(g []*node) {
+func (n *node) addPeers(g []*node) {
 	for _, o := range g {
 		if o != n {
 			n.peers = append(n.peers, o.self)
@@ -188,25 +190,25 @@
 
 func (t *Relaytrial) fetch(n *node, to string, f *wire.FetchRequest) (*wire.FetchResponse, error) {
 	a := t.byID[to].relay.Answer(f)
-	t.count(n.self.Name, to, f, a)
+	t.countMessage(n.self.Name, to, f, a)
 	return a, nil
 }
 
 func (t *Relaytrial) notify(n *node, to string, m *wire.Notice) (*wire.Notice, error) {
 	a := t.byID[to].relay.Receive(m)
-	t.count(n.self.Name, to, m, a)
+	t.countMessage(n.self.Name, to, m, a)
 	return a, nil
 }
 
-func (t *Relaytrial) count(a, b string, q, r proto.Message) {
+func (t *Relaytrial) countMessage(a, b string, q, r proto.Message) {
 	z := proto.Size(q) + proto.Size(r)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.messages++
-	t.bytes += 2 * z // once sent, once received
-	t.busiest[a] += z
-	t.busiest[b] += z
+	t.bytes += 2 * z // counted at the sender and at the receiver
+	t.bytesByHost[a] += z
+	t.bytesByHost[b] += z
 	if _, ok := q.(*wire.Notice); ok {
-		t.told[b] = true
+		t.notified[b] = true
 	}
 }
