--- a/configtrial/configtrial.go
+++ b/configtrial/configtrial.go
@@ -1,5 +1,5 @@
-// Package configtrial measures how long an accepted configuration takes until
-// it is in force on every host of a small deployment on loopback.
+// Package configtrial measures the time until an accepted configuration is in
+// force on every host of a small deployment on the loopback interface.
 package configtrial
 
 import (
@@ -29,19 +29,19 @@
 )
 
 const (
-	regions   = 3
-	perRegion = 2
-	perDomain = 2
+	regions          = 3
+	domainsPerRegion = 2
+	hostsPerDomain   = 2
 )
 
-// Configtrial runs a deployment of six failure domains with two hosts each and
-// makes changes.
+// Configtrial runs a deployment of six failure domains with two hosts each, and
+// changes its configuration repeatedly.
 type Configtrial struct {
-	// Clock is the clock of all parts.
+	// Clock is the clock of all components.
 	Clock clockwork.Clock
-	// Log receives the events of all parts.
+	// Log receives the log lines of all components.
 	Log *log.Logger
-	// Out receives the figures.
+	// Out receives the results.
 	Out io.Writer
 	// Changes is the number of changes to measure.
 	Changes int
@@ -51,9 +51,9 @@
 	fleet *fleet.Fleet
 }
 
-// Run measures and prints p50 and the maximum.
+// Run measures the changes and prints the median and the maximum time.
 func (c *Configtrial) Run(ctx context.Context) error {
-	c.fleet = &fleet.Fleet{Clock: c.Clock, Log: c.Log, Config: c.describe(), HostsPerDomain: perDomain}
+	c.fleet = &fleet.Fleet{Clock: c.Clock, Log: c.Log, Config: c.newConfig(), HostsPerDomain: hostsPerDomain}
 	err := c.fleet.Start(ctx)
 	if err == nil {
 		err = c.measure(ctx)
@@ -78,11 +78,11 @@
 		}
 		z = len(b)
 		t := c.Clock.Now()
-		if err := c.put(ctx, h[i%len(h)], v, b); err != nil {
+		if err := c.putConfig(ctx, h[i%len(h)], v, b); err != nil {
 			return err
 		}
 		a := c.Clock.Now()
-		if err := c.everywhere(ctx, v+1); err != nil {
+		if err := c.awaitVersion(ctx, v+1); err != nil {
 			return err
 		}
 		d = append(d, c.Clock.Since(a))
@@ -91,29 +91,29 @@
 	slices.Sort(d)
 	slices.Sort(o)
 	fmt.Fprintf(c.Out, "%d hosts, %d client accounts, %d bytes, %d changes: in force everywhere p50 %s max %s after the operator's answer, p50 %s max %s after the call\n",
-		len(h), len(n.Accounts), z, len(d), middle(d), last(d), middle(o), last(o))
+		len(h), len(n.Accounts), z, len(d), median(d), maximum(d), median(o), maximum(o))
 	return nil
 }
 
-func middle(d []time.Duration) time.Duration {
+func median(d []time.Duration) time.Duration {
 	return d[len(d)/2].Round(time.Millisecond)
 }
 
-func last(d []time.Duration) time.Duration {
+func maximum(d []time.Duration) time.Duration {
 	return d[len(d)-1].Round(time.Millisecond)
 }
 
-// everywhere waits until each host has a version.
-func (c *Configtrial) everywhere(ctx context.Context, version uint64) error {
+// awaitVersion waits until each host has at least the given version.
+func (c *Configtrial) awaitVersion(ctx context.Context, version uint64) error {
 	for _, h := range c.fleet.Hosts() {
-		if err := c.fleet.Await(ctx, h, func() bool { return c.version(ctx, h) >= version }); err != nil {
+		if err := c.fleet.Await(ctx, h, func() bool { return c.hostVersion(ctx, h) >= version }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Configtrial) version(ctx context.Context, host string) uint64 {
+func (c *Configtrial) hostVersion(ctx context.Context, host string) uint64 {
 	var a answer.Answer
 	b, err := c.call(ctx, http.MethodGet, "http://"+c.fleet.Settings(host).CallerAddress+"/lookup", nil)
 	if err != nil || codec.Unmarshal(b, &a) != nil {
@@ -122,7 +122,7 @@
 	return a.ConfigVersion
 }
 
-func (c *Configtrial) put(ctx context.Context, host string, from uint64, b []byte) error {
+func (c *Configtrial) putConfig(ctx context.Context, host string, from uint64, b []byte) error {
 	_, err := c.call(ctx, http.MethodPut, "http://"+c.fleet.Settings(host).OperatorAddress+"/config?from="+strconv.FormatUint(from, 10), b)
 	return err
 }
@@ -145,8 +145,8 @@
 	return b, err
 }
 
-// describe makes a configuration with as many accounts as asked for.
-func (c *Configtrial) describe() config.Config {
+// newConfig returns a configuration with the requested number of accounts.
+func (c *Configtrial) newConfig() config.Config {
 	n := config.Config{
 		Preset: "Ordinary",
 		Presets: []preset.Preset{{
@@ -159,7 +159,7 @@
 	for i := range regions {
 		r := fmt.Sprintf("region-%d", i)
 		n.Regions = append(n.Regions, region.Region{Name: r})
-		for j := range perRegion {
+		for j := range domainsPerRegion {
 			n.Domains = append(n.Domains, domain.Domain{Name: fmt.Sprintf("%s-%d", r, j), Region: r})
 		}
 	}
