--- a/host/domain.go
+++ b/host/domain.go
@@ -28,23 +28,23 @@
 )
 
 const (
-	probeEvery   = 2 * time.Second
-	probeTimeout = time.Second
+	probeInterval = 2 * time.Second
+	probeTimeout  = time.Second
 
-	// streamIdle is less than the time after which firewalls forget a
-	// connection that nobody uses.
-	streamIdle        = 5 * time.Second
+	// streamIdleTimeout is shorter than the time after which firewalls drop the
+	// state of an unused connection.
+	streamIdleTimeout = 5 * time.Second
 	streamsPerAddress = 8
-	dials             = 32
-	forwards          = 1000
+	maxDials          = 32
+	maxForwards       = 1000
 
-	// coldHold is taken to be the time of a request with cold caches.
-	coldHold = 100 * time.Millisecond
+	// coldRequestTime is the assumed duration of a request with cold caches.
+	coldRequestTime = 100 * time.Millisecond
 )
 
-// site holds the parts that look after the backend servers of the host's
-// failure domain, and that pass requests between domains.
-type site struct {
+// localDomain holds the components that manage the backend servers of the
+// host's failure domain and forward requests between failure domains.
+type localDomain struct {
 	loan    *slotloan.Slotloan
 	checks  *healthcheck.Healthcheck
 	links   *linklimit.Linklimit
@@ -52,15 +52,15 @@
 	streams *streampool.Streampool
 }
 
-// newDomain makes them.
-func (x *parts) newDomain() {
-	x.site = new(site)
+// newLocalDomain creates the components of localDomain.
+func (x *components) newLocalDomain() {
+	x.localDomain = new(localDomain)
 	x.newLanes()
 	x.newForwarding()
 }
 
-// children are the supervised parts of the domain.
-func (d *site) children(x *parts) []child.Child {
+// children returns the supervised tasks of the local failure domain.
+func (d *localDomain) children(x *components) []child.Child {
 	return []child.Child{
 		{Name: "lanes", Run: x.lanes.Run},
 		{Name: "healthcheck", Run: d.checks.Run},
@@ -69,45 +69,47 @@
 	}
 }
 
-func (x *parts) newLanes() {
+func (x *components) newLanes() {
 	h := x.host
-	d := x.site
+	d := x.localDomain
 	d.loan = &slotloan.Slotloan{
 		Clock: h.Clock, Host: h.Settings.Name, Longest: h.Settings.Hold * 9 / 10,
 		Siblings: x.slotLenders, Ask: x.peerclient.Borrow,
 	}
 	x.lanes = &lanes.Lanes{
-		Clock: h.Clock, Domains: x.reach, Snapshot: x.follower.Snapshot,
-		Slots: x.slots, Borrowed: d.loan.Acquire,
-		Drained: x.drained,
+		Clock: h.Clock, Domains: x.slotDomains, Snapshot: x.follower.Snapshot,
+		Slots: x.ownedSlots, Borrowed: d.loan.Acquire,
+		Drained: x.recordDrain,
 	}
 	d.loan.Adopt = x.lanes.Adopt
 	d.loan.Kick = x.lanes.Kick
 	d.loan.Lend = x.lendSlot
 	d.checks = &healthcheck.Healthcheck{
-		Clock: h.Clock, Interval: probeEvery, Timeout: probeTimeout, Backends: x.lanes.Suspects, Report: x.lanes.Probed,
+		Clock: h.Clock, Interval: probeInterval, Timeout: probeTimeout, Backends: x.lanes.Suspects, Report: x.lanes.Probed,
 	}
 }
 
-// lendSlot lends a free slot, but not on the way out: others get this host's
-// slots before a loan of them is over.
-func (x *parts) lendSlot(service string, d time.Duration) (backend string, back func(), ok bool) {
+// lendSlot lends a free slot to another host of the failure domain. A host that
+// is shutting down lends none, because its slots are reassigned to other hosts
+// before such a loan would end.
+func (x *components) lendSlot(service string, d time.Duration) (backend string, back func(), ok bool) {
 	if x.leaving.Load() {
 		return "", nil, false
 	}
 	return x.lanes.Lend(service, d)
 }
 
-// newForwarding makes the parts that pass requests between failure domains.
-func (x *parts) newForwarding() {
+// newForwarding creates the components that forward requests between failure
+// domains.
+func (x *components) newForwarding() {
 	h := x.host
-	d := x.site
-	d.links = &linklimit.Linklimit{Clock: h.Clock, Links: x.linksInForce, Part: x.limits.holding.Part}
+	d := x.localDomain
+	d.links = &linklimit.Linklimit{Clock: h.Clock, Links: x.currentLinks, Part: x.limits.holding.Part}
 	d.streams = &streampool.Streampool{
-		Clock: h.Clock, Dial: h.dialPeer, Idle: streamIdle, PerAddress: streamsPerAddress, Dials: dials,
+		Clock: h.Clock, Dial: h.dialPeer, Idle: streamIdleTimeout, PerAddress: streamsPerAddress, Dials: maxDials,
 	}
 	x.forward = &forward.Forward{
-		Clock: h.Clock, Region: h.Settings.Region, Targets: x.targets, Open: d.streams.Open, Limit: forwards,
+		Clock: h.Clock, Region: h.Settings.Region, Targets: x.forwardTargets, Open: d.streams.Open, Limit: maxForwards,
 		Version: func() uint64 { return x.follower.Snapshot().Config.Version },
 		Link: func(region string, n int64) (func(int64), time.Duration, bool) {
 			return d.links.Take(h.Settings.Region, region, n)
@@ -117,62 +119,65 @@
 		Clock:    h.Clock,
 		Cap:      func() float64 { return x.follower.Snapshot().Preset.GrowthCap },
 		Interval: func() time.Duration { return x.follower.Snapshot().Preset.ShiftInterval },
-		Idle:     x.idleRate,
+		Idle:     x.idleBaseRate,
 	}
 	x.receive = &receive.Receive{Clock: h.Clock, Snapshot: x.follower.Snapshot, Admit: x.admitForwarded, Serve: x.serveForwarded}
 }
 
-// elsewhere marks the context of a request whose caller's nearest region is
-// another one.
-type elsewhere struct{}
+// remoteCallerKey is the context key that marks a request whose caller is
+// nearest to another region.
+type remoteCallerKey struct{}
 
-// mark finds out whose callers are near another region. They are here because
-// look-ups steered them, all at once perhaps.
-func (x *parts) mark(next http.Handler) http.Handler {
+// markRemoteCallers marks the requests of callers that are nearest to another
+// region. Lookups sent those callers to this region, possibly all at the same
+// time.
+func (x *components) markRemoteCallers(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if a, err := netip.ParseAddrPort(r.RemoteAddr); err == nil {
-			if _, n, ok := x.block(a.Addr().Unmap()); ok && n != x.host.Settings.Region {
-				r = r.WithContext(context.WithValue(r.Context(), elsewhere{}, true))
+			if _, n, ok := x.findBlock(a.Addr().Unmap()); ok && n != x.host.Settings.Region {
+				r = r.WithContext(context.WithValue(r.Context(), remoteCallerKey{}, true))
 			}
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// local runs a request of a caller of this host.
-func (x *parts) local(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
-	f := ctx.Value(elsewhere{}) != nil
+// serveCaller serves a request that a caller sent to this host. Requests of
+// callers nearest to other regions are subject to the growth cap.
+func (x *components) serveCaller(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
+	f := ctx.Value(remoteCallerKey{}) != nil
 	if f {
-		if t, ok := x.site.growth.Admit(); !ok {
-			return tooFast(t)
+		if t, ok := x.localDomain.growth.Admit(); !ok {
+			return growthRefusal(t)
 		}
 	}
-	o := x.serve(ctx, r, w)
+	o := x.serveLocally(ctx, r, w)
 	switch {
 	case f && o.Ran == outcome.RanNo:
-		x.site.growth.Return()
+		x.localDomain.growth.Return()
 	case !f && o.Ran != outcome.RanNo:
-		x.site.growth.Note()
+		x.localDomain.growth.Note()
 	}
 	return o
 }
 
-func tooFast(t time.Duration) outcome.Outcome {
+func growthRefusal(t time.Duration) outcome.Outcome {
 	return outcome.Outcome{
 		Outcome: outcome.NoCapacity, Ran: outcome.RanNo, Message: "traffic from elsewhere grows too fast", RetryAfter: t,
 	}
 }
 
-// admitForwarded lets a request of another failure domain in as fast as the
-// growth cap and the link back allow.
-func (x *parts) admitForwarded(r *request.Request, region string) (func(o outcome.Outcome, bytes int64), outcome.Outcome) {
-	t, ok := x.site.growth.Admit()
+// admitForwarded admits a request that was forwarded from another failure
+// domain, within the growth cap and the capacity of the link back to the
+// sender.
+func (x *components) admitForwarded(r *request.Request, region string) (func(o outcome.Outcome, bytes int64), outcome.Outcome) {
+	t, ok := x.localDomain.growth.Admit()
 	if !ok {
-		return nil, tooFast(t)
+		return nil, growthRefusal(t)
 	}
-	s, t, ok := x.site.links.Take(x.host.Settings.Region, region, r.Service.AnswerBytes)
+	s, t, ok := x.localDomain.links.Take(x.host.Settings.Region, region, r.Service.AnswerBytes)
 	if !ok {
-		x.site.growth.Return()
+		x.localDomain.growth.Return()
 		return nil, outcome.Outcome{
 			Outcome: outcome.NoCapacity, Ran: outcome.RanNo, Message: "the link to the caller's region is full", RetryAfter: t,
 		}
@@ -180,12 +185,12 @@
 	return func(o outcome.Outcome, n int64) {
 		s(n)
 		if o.Ran == outcome.RanNo {
-			x.site.growth.Return()
+			x.localDomain.growth.Return()
 		}
 	}, outcome.Outcome{}
 }
 
-func (x *parts) linksInForce() []link.Link {
+func (x *components) currentLinks() []link.Link {
 	s := x.follower.Snapshot()
 	if s == nil {
 		return nil
@@ -193,36 +198,38 @@
 	return s.Config.Links
 }
 
-// idleRate is the traffic from which an idle domain grows: what this host's
-// slots can run if requests take as long as they do with cold caches.
-func (x *parts) idleRate() float64 {
+// idleBaseRate returns the request rate from which the traffic of an idle
+// failure domain may grow: the rate that this host's slots sustain if every
+// request takes as long as it does with cold caches.
+func (x *components) idleBaseRate() float64 {
 	n := 0
 	for _, l := range x.lanes.Loads() {
 		n += int(l.Slots)
 	}
-	return float64(n) / coldHold.Seconds()
+	return float64(n) / coldRequestTime.Seconds()
 }
 
-// borrow answers a request for a loan.
-func (x *parts) borrow(b *wire.BorrowRequest) *wire.BorrowResponse {
+// handleBorrow answers a request of a peer for a loan of slots or tokens.
+func (x *components) handleBorrow(b *wire.BorrowRequest) *wire.BorrowResponse {
 	if strings.HasPrefix(b.Limit, slotloan.Prefix) {
-		return x.site.loan.Receive(b)
+		return x.localDomain.loan.Receive(b)
 	}
-	return x.lend(b)
+	return x.lendTokens(b)
 }
 
-// slotLenders returns the hosts of the own failure domain that report more than
-// one free slot of a service.
-func (x *parts) slotLenders(service string) []member.Member {
-	return x.drawn(service, func(m member.Member, free int) bool {
+// slotLenders returns the hosts of the local failure domain that report more
+// than one free slot of a service.
+func (x *components) slotLenders(service string) []member.Member {
+	return x.shuffleByFreeSlots(service, func(m member.Member, free int) bool {
 		return m.Domain == x.host.Settings.Domain && free > 1
 	})
 }
 
-// targets returns the hosts of other failure domains with free slots, those of
-// the own region first: a link costs bytes and a hundred times the time.
-func (x *parts) targets(service string) []member.Member {
-	r := x.drawn(service, func(m member.Member, free int) bool {
+// forwardTargets returns the hosts of other failure domains that have free
+// slots. Hosts of the local region come first, because a link to another region
+// costs bandwidth and a hundred times the latency.
+func (x *components) forwardTargets(service string) []member.Member {
+	r := x.shuffleByFreeSlots(service, func(m member.Member, free int) bool {
 		return m.Domain != x.host.Settings.Domain && !m.Leaving && free > 0
 	})
 	n := func(m member.Member) bool { return m.Region == x.host.Settings.Region }
@@ -230,15 +237,15 @@
 	return r
 }
 
-// drawn returns the peers that are wanted in random order, weighted by their
-// reported free slots. In the order of a report that is seconds old, every host
-// would send its requests to the same one.
-func (x *parts) drawn(service string, wanted func(m member.Member, free int) bool) []member.Member {
+// shuffleByFreeSlots returns the wanted peers in random order, weighted by
+// their reported free slots. Reports are seconds old, so if every host sorted
+// by them, all hosts would send their requests to the same peer.
+func (x *components) shuffleByFreeSlots(service string, wanted func(m member.Member, free int) bool) []member.Member {
 	var r []member.Member
 	f := make(map[string]float64)
 	for _, m := range x.membership.Alive() {
-		if n := x.free(m.Name, service); wanted(m, n) {
-			f[m.Name] = -math.Log(open()) / float64(n)
+		if n := x.freeSlots(m.Name, service); wanted(m, n) {
+			f[m.Name] = -math.Log(nonZeroRandom()) / float64(n)
 			r = append(r, m)
 		}
 	}
@@ -246,7 +253,7 @@
 	return r
 }
 
-func (x *parts) free(host, service string) int {
+func (x *components) freeSlots(host, service string) int {
 	h, ok := x.membership.Last(host)
 	if !ok {
 		return 0
@@ -259,9 +266,9 @@
 	return 0
 }
 
-// siblings returns the names of the hosts of the own failure domain that are
-// alive, this one included, and this one's place among them by name.
-func (x *parts) siblings() (names []string, self int) {
+// siblings returns the names of the live hosts of the local failure domain,
+// including this one, and the position of this host among them in name order.
+func (x *components) siblings() (names []string, self int) {
 	for _, m := range x.membership.Alive() {
 		if m.Domain == x.host.Settings.Domain {
 			if m.Name < x.host.Settings.Name {
@@ -273,9 +280,10 @@
 	return append(names, x.host.Settings.Name), self
 }
 
-// reach returns the own failure domain, and those of the region whose slots
-// this host got when they lost their last host.
-func (x *parts) reach() []string {
+// slotDomains returns the failure domains whose slots this host may use: the
+// local one, and those of the region that have lost all their hosts and whose
+// slots were assigned to this host.
+func (x *components) slotDomains() []string {
 	r := []string{x.host.Settings.Domain}
 	s := x.follower.Snapshot()
 	if s == nil {
@@ -289,7 +297,7 @@
 	return r
 }
 
-// slots returns how many slots of a backend server this host owns.
-func (x *parts) slots(b backend.Backend) int {
+// ownedSlots returns how many slots of a backend server this host owns.
+func (x *components) ownedSlots(b backend.Backend) int {
 	return len(x.limits.holding.Slots(author.SlotsPrefix+b.Domain, b.Slots))
 }
--- a/host/host.go
+++ b/host/host.go
@@ -1,5 +1,5 @@
-// Package host puts the parts of one entry host together and runs them under
-// a supervisor.
+// Package host assembles the components of one host and runs them under a
+// supervisor.
 package host
 
 import (
@@ -19,34 +19,38 @@
 )
 
 const (
-	announceEvery = 3 * time.Second
-	dialTimeout   = time.Second
+	announceInterval = 3 * time.Second
+	dialTimeout      = time.Second
 )
 
-// Host is one entry host.
+// Host is one running process of this program, which serves callers, peers and
+// operators.
 type Host struct {
-	// Settings say who the host is.
+	// Settings identify the host and configure its addresses and timeouts.
 	Settings settings.Settings
-	// Platform is the users' platform.
+	// Platform is the users' platform, which stores shared state.
 	Platform store.Store
-	// Clock is the host's clock.
+	// Clock is the time source of all components.
 	Clock clockwork.Clock
 	// Log receives the host's events.
 	Log *log.Logger
-	// Incarnation is drawn anew for each process.
+	// Incarnation is a random number that identifies the process. Each start of
+	// the host uses a new one.
 	Incarnation uint64
-	// Dial opens connections to other hosts; nil means plain TCP.
+	// Dial opens connections to other hosts. Nil means plain TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Listen opens the listeners of the host; nil means plain TCP.
+	// Listen opens the listeners of the host. Nil means plain TCP.
 	Listen func(ctx context.Context, address string) (net.Listener, error)
-	// Counter counts how requests ended.
+	// Counter counts requests by outcome.
 	Counter *counter.Counter
 
-	peers *certs.Certs
-	cut   atomic.Int64
+	peerCerts  *certs.Certs
+	unfinished atomic.Int64
 }
 
-// Run serves until ctx ends, and then lets the requests in flight finish.
+// Run serves until ctx ends, then waits for requests in flight to finish, for
+// at most DrainTimeout. It returns an error if requests were still in flight
+// after that.
 func (h *Host) Run(ctx context.Context) error {
 	if h.Dial == nil {
 		h.Dial = dial
@@ -69,17 +73,17 @@
 		return errors.Wrap(err, "OperatorAddress")
 	}
 	defer o.Close()
-	c, p, o, err = h.secure(c, p, o)
+	c, p, o, err = h.wrapTLS(c, p, o)
 	if err != nil {
 		return err
 	}
 	h.Log.Info("host starts", "Host", h.Settings.Name, "Domain", h.Settings.Domain, "Incarnation", h.Incarnation)
 	s := h.assemble(c, p, o)
 	err = s.Run(ctx)
-	n := h.cut.Load()
+	n := h.unfinished.Load()
 	h.Log.Info("host ended", "Host", h.Settings.Name, "Cut", n)
 	if err == nil && n > 0 {
-		return errors.Errorf("%d requests were cut after %s", n, h.Settings.DrainTimeout)
+		return errors.Errorf("%d requests were still in flight after the drain timeout of %s", n, h.Settings.DrainTimeout)
 	}
 	return err
 }
--- a/host/limits.go
+++ b/host/limits.go
@@ -25,20 +25,22 @@
 )
 
 const (
-	// storeHold is how long leased parts last without a reading of the table.
-	storeHold = time.Hour
-	// pollsPerHold is how often within Hold a host reads the table.
+	// leasedShareLifetime is how long leased shares of limits stay valid
+	// without a read of the division table.
+	leasedShareLifetime = time.Hour
+	// pollsPerHold is how many times per Hold period a host reads the division
+	// table.
 	pollsPerHold = 3
-	// followEvery is the least time between two divisions that only follow
-	// the demand.
-	followEvery = 5 * time.Second
-	demandEvery = time.Second
-	loanFor     = 250 * time.Millisecond
+	// minDemandDivisionInterval is the minimum time between two divisions that
+	// only adapt to changed demand.
+	minDemandDivisionInterval = 5 * time.Second
+	demandSampleInterval      = time.Second
+	loanDuration              = 250 * time.Millisecond
 
 	divisionKind = "Division"
 )
 
-func (x *parts) account(name string) (account.Account, bool) {
+func (x *components) account(name string) (account.Account, bool) {
 	s := x.follower.Snapshot()
 	if s == nil {
 		return account.Account{}, false
@@ -46,7 +48,9 @@
 	return s.Account(name)
 }
 
-// limits are the parts that decide what this host may use of each limit.
+// limits holds the components that determine how much of each limit this host
+// may use. A division assigns shares of each limit to failure domains and
+// hosts; its version number is the epoch.
 type limits struct {
 	holding *holding.Holding
 	author  *author.Author
@@ -55,30 +59,31 @@
 	fetches chan uint64
 }
 
-// newLimits makes the limits and the quota that admits by them.
-func (x *parts) newLimits() {
+// newLimits creates the components of limits, and the quota that admits
+// requests within them.
+func (x *components) newLimits() {
 	h := x.host
 	m := x.self()
 	s := holder.Holder{Name: m.Name, Incarnation: m.Incarnation, Domain: m.Domain, Region: m.Region}
 	x.quota = &quota.Quota{Clock: h.Clock, Account: x.account, Grant: x.grant, Hold: h.Settings.Hold}
 	l := &limits{fetches: make(chan uint64, 1)}
 	l.holding = &holding.Holding{
-		Clock: h.Clock, Self: s, Hold: h.Settings.Hold, StoreHold: storeHold, Every: h.Settings.Heartbeat,
-		Changing: x.quota.Sync, Busy: x.overcommitted, Owed: loanFor + loanFor/10,
+		Clock: h.Clock, Self: s, Hold: h.Settings.Hold, StoreHold: leasedShareLifetime, Every: h.Settings.Heartbeat,
+		Changing: x.quota.Sync, Busy: x.overcommitted, Owed: loanDuration + loanDuration/10,
 	}
 	l.demand = &demand.Demand{Clock: h.Clock, Hold: h.Settings.Hold, Account: x.account}
-	l.loan = loan.New(h.Clock, loanFor)
-	l.loan.Self, l.loan.Lenders, l.loan.Ask, l.loan.Received = m.Name, x.lenders, x.peerclient.Borrow, x.quota.Receive
+	l.loan = loan.New(h.Clock, loanDuration)
+	l.loan.Self, l.loan.Lenders, l.loan.Ask, l.loan.Received = m.Name, x.tokenLenders, x.peerclient.Borrow, x.quota.Receive
 	x.quota.Borrow = l.loan.Borrow
 	l.author = &author.Author{
-		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Holding: l.holding, Alive: x.holders, Config: x.config,
-		Demand: l.demand.Fractions, Listed: x.membership.OnList, Every: h.Settings.Hold / pollsPerHold, Least: followEvery,
+		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Holding: l.holding, Alive: x.activeHolders, Config: x.config,
+		Demand: l.demand.Fractions, Listed: x.membership.OnList, Every: h.Settings.Hold / pollsPerHold, Least: minDemandDivisionInterval,
 	}
 	x.limits = l
 }
 
-// children are the supervised parts of the limits.
-func (l *limits) children(x *parts) []child.Child {
+// children returns the supervised tasks of the limits.
+func (l *limits) children(x *components) []child.Child {
 	return []child.Child{
 		{Name: "holding", Run: l.holding.Run},
 		{Name: "author", Run: l.author.Run},
@@ -88,7 +93,7 @@
 	}
 }
 
-func (x *parts) config() *config.Config {
+func (x *components) config() *config.Config {
 	s := x.follower.Snapshot()
 	if s == nil {
 		return nil
@@ -96,34 +101,34 @@
 	return s.Config
 }
 
-func (x *parts) grant(name string) grant.Grant {
+func (x *components) grant(name string) grant.Grant {
 	return x.limits.holding.Rate(name)
 }
 
-// confirm reports whether a request's token may still be used, right before the
-// request leaves.
-func (x *parts) confirm(r *request.Request) bool {
+// confirmToken reports whether a request's rate token is still valid. It is
+// called immediately before the request is sent to a backend server.
+func (x *components) confirmToken(r *request.Request) bool {
 	return r.Admitted.IsZero() || x.quota.Confirm(r.Credential.Account, r.Admitted)
 }
 
-// overcommitted reports whether requests run on more slots of a backend server
-// than this host has.
-func (x *parts) overcommitted() bool {
+// overcommitted reports whether more slots of some backend server are in use
+// than this host owns.
+func (x *components) overcommitted() bool {
 	s := x.follower.Snapshot()
 	if s == nil {
 		return false
 	}
 	for _, b := range s.Config.Backends {
-		if n := x.lanes.Committed(b); n > 0 && n > x.slots(b) {
+		if n := x.lanes.Committed(b); n > 0 && n > x.ownedSlots(b) {
 			return true
 		}
 	}
 	return false
 }
 
-// holders returns the processes that this host or a peer of it has heard
-// lately, and that do not leave.
-func (x *parts) holders() []holder.Holder {
+// activeHolders returns the processes that this host or one of its peers has
+// recently received heartbeats from and that are not shutting down.
+func (x *components) activeHolders() []holder.Holder {
 	s := x.limits.holding.Self
 	m := map[string]holder.Holder{}
 	l := x.leaving.Load()
@@ -152,8 +157,9 @@
 	return r
 }
 
-// composeLimits adds to a heartbeat what the other hosts' limits need.
-func (x *parts) composeLimits(h *wire.Heartbeat) {
+// fillLimits adds to a heartbeat the division epoch and, in full heartbeats,
+// the demand of each account.
+func (x *components) fillLimits(h *wire.Heartbeat) {
 	h.Versions = append(h.Versions, &wire.Version{Kind: divisionKind, Version: x.limits.holding.Report()})
 	if !h.Full {
 		return
@@ -163,8 +169,9 @@
 	}
 }
 
-// heardLimits takes it from a peer's heartbeat.
-func (x *parts) heardLimits(h *wire.Heartbeat, sent time.Time) {
+// handleLimits processes the division epoch and the demand in a peer's
+// heartbeat.
+func (x *components) handleLimits(h *wire.Heartbeat, sent time.Time) {
 	if h.Full {
 		d := make(map[string]float64, len(h.Demands))
 		for _, v := range h.Demands {
@@ -172,7 +179,7 @@
 		}
 		x.limits.demand.Note(h.From.Name, d)
 	}
-	e := version(h)
+	e := divisionEpoch(h)
 	x.limits.holding.Heard(h.From.Name, h.From.Incarnation, e, sent)
 	if e > x.limits.holding.Epoch() {
 		select {
@@ -182,7 +189,7 @@
 	}
 }
 
-func version(h *wire.Heartbeat) uint64 {
+func divisionEpoch(h *wire.Heartbeat) uint64 {
 	for _, v := range h.Versions {
 		if v.Kind == divisionKind {
 			return v.Version
@@ -191,9 +198,10 @@
 	return 0
 }
 
-// fetchDivisions gets newer divisions from the peers that have them, so that
-// an epoch is known everywhere within a heartbeat, also without the table.
-func (x *parts) fetchDivisions(ctx context.Context) error {
+// fetchDivisions fetches newer divisions from the peers that report them. A new
+// epoch thereby reaches every host within one heartbeat, even if the host
+// cannot read the table.
+func (x *components) fetchDivisions(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -202,14 +210,14 @@
 		}
 		for _, m := range x.membership.Alive() {
 			e := x.limits.holding.Epoch()
-			if h, ok := x.membership.Last(m.Name); ok && version(h) > e {
+			if h, ok := x.membership.Last(m.Name); ok && divisionEpoch(h) > e {
 				x.fetchDivision(ctx, m.PeerAddress, e)
 			}
 		}
 	}
 }
 
-func (x *parts) fetchDivision(ctx context.Context, address string, have uint64) {
+func (x *components) fetchDivision(ctx context.Context, address string, have uint64) {
 	c, f := clockwork.WithTimeout(ctx, x.host.Clock, x.host.Settings.Hold/pollsPerHold)
 	defer f()
 	r, err := x.peerclient.Fetch(c, address, &wire.FetchRequest{Kind: divisionKind, Have: have})
@@ -218,14 +226,15 @@
 	}
 	var d division.Division
 	if err := codec.Unmarshal(r.Content, &d); err != nil {
-		x.host.Log.Error("division unreadable", "From", address, "Error", err)
+		x.host.Log.Error("cannot decode division", "From", address, "Error", err)
 		return
 	}
 	x.limits.holding.Learn(d, time.Time{})
 }
 
-// division answers a peer that asks for a newer one.
-func (x *parts) division(have uint64) *wire.FetchResponse {
+// handleDivisionFetch answers a peer that requests a division newer than the
+// one it has.
+func (x *components) handleDivisionFetch(have uint64) *wire.FetchResponse {
 	d, ok := x.limits.holding.Current()
 	if !ok || d.Epoch <= have {
 		return &wire.FetchResponse{}
@@ -237,12 +246,12 @@
 	return &wire.FetchResponse{Version: d.Epoch, Content: b}
 }
 
-func (x *parts) sampleDemand(ctx context.Context) error {
+func (x *components) sampleDemand(ctx context.Context) error {
 	t := x.host.Clock.Now()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-x.host.Clock.After(demandEvery):
+		case <-x.host.Clock.After(demandSampleInterval):
 			n := x.host.Clock.Now()
 			x.limits.demand.Note(x.host.Settings.Name, x.quota.Demands(n.Sub(t)))
 			t = n
@@ -251,8 +260,9 @@
 	return nil
 }
 
-// lenders returns whom to ask for an account's tokens.
-func (x *parts) lenders(name string) []string {
+// tokenLenders returns the peer addresses of the hosts that may lend tokens of
+// an account.
+func (x *components) tokenLenders(name string) []string {
 	var l []holder.Holder
 	a := make(map[string]string)
 	for _, m := range x.membership.Alive() {
@@ -270,10 +280,10 @@
 	return p
 }
 
-// lend answers a peer that asks for tokens.
-func (x *parts) lend(b *wire.BorrowRequest) *wire.BorrowResponse {
+// lendTokens answers a peer that requests a loan of tokens.
+func (x *components) lendTokens(b *wire.BorrowRequest) *wire.BorrowResponse {
 	n, ok := strings.CutPrefix(b.Limit, division.RatePrefix)
-	d := min(time.Duration(b.ForNanoseconds), loanFor)
+	d := min(time.Duration(b.ForNanoseconds), loanDuration)
 	if !ok || d <= 0 {
 		return &wire.BorrowResponse{}
 	}
--- a/host/metrics.go
+++ b/host/metrics.go
@@ -6,7 +6,7 @@
 	"celeryreach.example/celeryreach/metric"
 )
 
-// Names of the gauges; docs/metrics.md describes each.
+// Names of the gauges, which docs/metrics.md describes.
 const (
 	gaugeConfig  = "ConfigVersion"
 	gaugePeers   = "Peers"
@@ -15,9 +15,9 @@
 	gaugeWaiting = "RequestsWaiting"
 )
 
-// measure publishes the present values. Several hosts in one process keep
-// their metrics apart by the prefix of their counters.
-func (x *parts) measure() {
+// publishGauges publishes the current gauge values. Several hosts in one
+// process are distinguished by the prefix of their counters.
+func (x *components) publishGauges() {
 	p := strings.TrimPrefix(x.host.Counter.Prefix, "Requests.")
 	e := func(name string, v float64) { metric.Metric{Name: p + name}.Set(v) }
 	if s := x.follower.Snapshot(); s != nil {
--- a/host/metrics_test.go
+++ b/host/metrics_test.go
@@ -14,8 +14,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// The table of docs/metrics.md names exactly the metrics that the code
-// publishes: a counter for each outcome, and the gauges of this package and of edge.
+// The table in docs/metrics.md lists exactly the metrics that the code
+// publishes: a counter for each outcome, and the gauges of this package and of
+// package edge.
 func TestMetricsAreDocumented(t *testing.T) {
 	b, err := os.ReadFile("../docs/metrics.md")
 	must.NoError(t, err)
--- a/host/parts.go
+++ b/host/parts.go
@@ -26,46 +26,46 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// parts are the parts of a host, wired to each other.
-type parts struct {
-	host       *Host
-	leaving    atomic.Bool
-	follower   *follower.Follower
-	membership *membership.Membership
-	peerclient *peerclient.Peerclient
-	peerserver *peerserver.Peerserver
-	lanes      *lanes.Lanes
-	site       *site
-	quota      *quota.Quota
-	limits     *limits
-	dispatch   *dispatch.Dispatch
-	forward    *forward.Forward
-	receive    *receive.Receive
-	lookup     *lookup.Lookup
-	admission  *admission.Admission
-	history    history.History
-	burn       *burn.Burn
-	keep       *keep.Keep
-	steering   *steering
-	requests   requests
+// components holds the connected components of a host.
+type components struct {
+	host        *Host
+	leaving     atomic.Bool
+	follower    *follower.Follower
+	membership  *membership.Membership
+	peerclient  *peerclient.Peerclient
+	peerserver  *peerserver.Peerserver
+	lanes       *lanes.Lanes
+	localDomain *localDomain
+	quota       *quota.Quota
+	limits      *limits
+	dispatch    *dispatch.Dispatch
+	forward     *forward.Forward
+	receive     *receive.Receive
+	lookup      *lookup.Lookup
+	admission   *admission.Admission
+	history     history.History
+	burn        *burn.Burn
+	keep        *keep.Keep
+	steering    *steering
+	requests    requests
 }
 
-func (h *Host) parts() *parts {
-	x := &parts{host: h}
+func (h *Host) newComponents() *components {
+	x := &components{host: h}
 	x.steering = x.newSteering()
 	x.follower = x.newFollower()
 	x.peerclient = &peerclient.Peerclient{Dial: h.dialPeer}
-	x.admission = &admission.Admission{Snapshot: x.follower.Snapshot, Stale: x.stale}
+	x.admission = &admission.Admission{Snapshot: x.follower.Snapshot, Stale: x.areKeysStale}
 	x.membership = x.newMembership()
 	x.newLimits()
-	x.newDomain()
+	x.newLocalDomain()
 	x.newRequests()
 	x.newBurn()
 	x.lookup = x.newLookup()
 	x.peerserver = &peerserver.Peerserver{
 		OnBeat:    x.membership.Receive,
-		OnFetch:   x.fetch,
-		OnBorrow:  x.borrow,
+		OnFetch:   x.handleFetch,
+		OnBorrow:  x.handleBorrow,
 		OnForward: x.receive.Stream,
 		OnNotify:  x.steering.relay.Receive,
 	}
@@ -73,16 +73,16 @@
 	return x
 }
 
-func (x *parts) newMembership() *membership.Membership {
+func (x *components) newMembership() *membership.Membership {
 	h := x.host
 	return &membership.Membership{
 		Clock: h.Clock, Log: h.Log, Self: x.self, Seeds: h.Settings.Peers, Listed: h.Platform.Hosts,
 		Interval: h.Settings.Heartbeat, Hold: h.Settings.Hold, Beat: x.peerclient.Beat,
-		Compose: x.compose, Heard: x.heard,
+		Compose: x.fillHeartbeat, Heard: x.handleHeartbeat,
 	}
 }
 
-func (x *parts) self() member.Member {
+func (x *components) self() member.Member {
 	s := x.host.Settings
 	return member.Member{
 		Name: s.Name, Incarnation: x.host.Incarnation, Domain: s.Domain, Region: s.Region,
@@ -91,45 +91,45 @@
 	}
 }
 
-// hosts returns the hosts that are alive, this one included.
-func (x *parts) hosts() []member.Member {
+// hosts returns the live hosts, including this one.
+func (x *components) hosts() []member.Member {
 	return append(x.membership.Alive(), x.self())
 }
 
-// announce keeps the host on the platform's list and marks it leaving when
-// the host shuts down.
-func (x *parts) announce(ctx context.Context) error {
+// announce keeps the host registered in the platform's host list, and marks it
+// as leaving during shutdown.
+func (x *components) announce(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := x.host.Platform.Announce(ctx, x.self()); err != nil && ctx.Err() == nil {
 			x.host.Log.Warn("host not announced", "Error", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-x.host.Clock.After(announceEvery):
+		case <-x.host.Clock.After(announceInterval):
 		}
 	}
 	return nil
 }
 
-func (x *parts) compose(h *wire.Heartbeat) {
+func (x *components) fillHeartbeat(h *wire.Heartbeat) {
 	h.Loads = x.lanes.Loads()
-	x.composeSteering(h)
-	x.composeLimits(h)
+	x.fillSteering(h)
+	x.fillLimits(h)
 }
 
-func (x *parts) heard(h *wire.Heartbeat, sent time.Time) {
-	x.heardSteering(h)
-	x.heardLimits(h, sent)
+func (x *components) handleHeartbeat(h *wire.Heartbeat, sent time.Time) {
+	x.handleSteering(h)
+	x.handleLimits(h, sent)
 }
 
-func (x *parts) fetch(f *wire.FetchRequest) *wire.FetchResponse {
+func (x *components) handleFetch(f *wire.FetchRequest) *wire.FetchResponse {
 	if f.Kind == divisionKind {
-		return x.division(f.Have)
+		return x.handleDivisionFetch(f.Have)
 	}
 	return x.steering.relay.Answer(f)
 }
 
-func (x *parts) entryHosts(account, service string) []string {
+func (x *components) entryHosts(account, service string) []string {
 	a, o := x.lookup.Find(account, service, x.host.Settings.Region, netip.Addr{})
 	if o.Outcome != "" {
 		return o.EntryHosts
--- a/host/plans.go
+++ b/host/plans.go
@@ -27,22 +27,24 @@
 )
 
 const (
-	planEvery   = time.Second
-	plannerKey  = "lease/planner"
-	plannerTerm = 15 * time.Second
-	gaugeWindow = 10 * time.Second
-	// measureLag is how far the sum of the gauge's window, of one heartbeat
-	// and of one look may be behind.
-	measureLag = gaugeWindow + 2*time.Second
-	// lostHolds is after how many times Hold without any of its hosts a region
-	// counts as lost. Some seconds of silence move nobody.
-	lostHolds = 3
+	planInterval = time.Second
+	plannerKey   = "lease/planner"
+	plannerTerm  = 15 * time.Second
+	gaugeWindow  = 10 * time.Second
+	// maxMeasurementLag is the maximum age of the measurements that a plan is
+	// based on: the window of the gauge, one heartbeat and one run of
+	// updateSteering.
+	maxMeasurementLag = gaugeWindow + 2*time.Second
+	// lostAfterHolds is the number of Hold periods without a heartbeat from any
+	// of its hosts after which a region counts as lost. A silence of a few
+	// seconds must not move callers.
+	lostAfterHolds = 3
 )
 
-func (x *parts) newPlanner(s *steering) *planner.Planner {
+func (x *components) newPlanner(s *steering) *planner.Planner {
 	h := x.host
 	return &planner.Planner{
-		Clock: h.Clock, Log: h.Log, Interval: planEvery, Lag: measureLag, Preset: x.preset,
+		Clock: h.Clock, Log: h.Log, Interval: planInterval, Lag: maxMeasurementLag, Preset: x.preset,
 		Draining: x.drainingRegions, Domains: x.domains, Observe: x.observations, Current: s.plans.Plan,
 		Quiet: func() bool { return s.failover.Quiet(x.preset().ShiftInterval) },
 		Held:  s.lease.Held,
@@ -52,7 +54,7 @@
 	}
 }
 
-func (x *parts) newLease() *lease.Lease {
+func (x *components) newLease() *lease.Lease {
 	h := x.host
 	return &lease.Lease{
 		Clock: h.Clock, Platform: h.Platform, Name: plannerKey, Term: plannerTerm,
@@ -60,44 +62,46 @@
 	}
 }
 
-// campaign asks for the planner's lease while this host is one of those that
-// read the platform often: a lease that every host asked for would cost the
-// platform a read for each of thousands of hosts in each quarter of its term.
-func (x *parts) campaign(ctx context.Context) error {
+// campaign tries to acquire the planner lease while this host is one of the
+// frequent readers of the platform. If every host did this, the platform would
+// serve a read for each of thousands of hosts in each quarter of the lease
+// term.
+func (x *components) campaign(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if x.reads() {
+		if x.isFrequentReader() {
 			x.runLease(ctx)
 		}
 		select {
 		case <-ctx.Done():
-		case <-x.host.Clock.After(planEvery):
+		case <-x.host.Clock.After(planInterval):
 		}
 	}
 	return nil
 }
 
-// runLease asks for the lease until this host need not any more.
-func (x *parts) runLease(ctx context.Context) {
+// runLease maintains the lease until this host is no longer a frequent reader.
+func (x *components) runLease(ctx context.Context) {
 	c, f := context.WithCancel(ctx)
 	defer f()
 	d := make(chan struct{})
 	go func() {
 		defer close(d)
-		_ = x.steering.lease.Run(c) // it ends with c and has no other end
+		_ = x.steering.lease.Run(c) // returns only when c ends
 	}()
-	for x.reads() && ctx.Err() == nil {
+	for x.isFrequentReader() && ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-x.host.Clock.After(planEvery):
+		case <-x.host.Clock.After(planInterval):
 		}
 	}
 	f()
 	<-d
 }
 
-// publishPlan writes a plan on condition of the lease and of the plan before
-// it, so that a planner that was paused writes nothing when it goes on.
-func (x *parts) publishPlan(ctx context.Context, from uint64, p *plan.Plan) (bool, error) {
+// publishPlan writes a plan on the condition that this host holds the lease and
+// that the previous plan is unchanged. A planner that resumes after a pause
+// therefore cannot overwrite a newer plan.
+func (x *components) publishPlan(ctx context.Context, from uint64, p *plan.Plan) (bool, error) {
 	b, err := codec.Marshal(p)
 	if err != nil {
 		return false, err
@@ -114,22 +118,23 @@
 	return true, r.Offer(a.Version, a.Hash, b)
 }
 
-func (x *parts) newLookup() *lookup.Lookup {
+func (x *components) newLookup() *lookup.Lookup {
 	return &lookup.Lookup{
 		Snapshot: x.follower.Snapshot, Plan: x.steering.plans.Plan, Hosts: x.roster,
-		Block: x.block, Home: x.host.Settings.Region, Lost: x.lost, Last: x.last,
-		Moved: x.steering.failover.Moved, Asked: x.steering.meter.Asked, Random: open,
+		Block: x.findBlock, Home: x.host.Settings.Region, Lost: x.isRegionLost, Last: x.lastKnownHosts,
+		Moved: x.steering.failover.Moved, Asked: x.steering.meter.Asked, Random: nonZeroRandom,
 	}
 }
 
-// open returns a random number in 0..1 without 0, of which there is no
-// logarithm.
-func open() float64 {
+// nonZeroRandom returns a random number greater than 0 and at most 1, so that
+// its logarithm is defined.
+func nonZeroRandom() float64 {
 	return 1 - rand.Float64()
 }
 
-// serve runs a request in the own failure domain and counts it for the planner.
-func (x *parts) serve(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
+// serveLocally runs a request in the local failure domain and records its
+// result for the planner.
+func (x *components) serveLocally(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
 	t := x.host.Clock.Now()
 	o := x.dispatch.Serve(ctx, r, w)
 	switch o.Outcome {
@@ -141,19 +146,20 @@
 	return o
 }
 
-// look sums up what heartbeats tell and takes the steps of a failover.
-func (x *parts) look(ctx context.Context) error {
+// updateSteering periodically aggregates the loads in heartbeats, updates the
+// roster of hosts and the lost regions, and advances failovers.
+func (x *components) updateSteering(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-x.host.Clock.After(planEvery):
+		case <-x.host.Clock.After(planInterval):
 		}
 		s := x.follower.Snapshot()
 		if s == nil {
 			continue
 		}
-		x.noteSelf()
+		x.recordOwnLoads()
 		if o := x.newRoster(); !o.Equal(x.roster()) || x.steering.roster.Load() == nil {
 			x.steering.roster.Store(o)
 		}
@@ -165,41 +171,42 @@
 			r = append(r, o.Name)
 		}
 		o := x.steering.gauge.Observe(v, r)
-		x.steering.observed.Store(&o)
+		x.steering.lastObservations.Store(&o)
 		l := make(map[string]bool, len(r))
 		for _, n := range r {
-			l[n] = x.silent(n)
+			l[n] = x.isRegionSilent(n)
 			for _, m := range v {
 				x.steering.failover.Tick(m, n, !l[n])
 			}
 		}
-		x.steering.lost.Store(&l)
+		x.steering.lostRegions.Store(&l)
 	}
 }
 
-// noteSelf adds this host's own counts to the peers'.
-func (x *parts) noteSelf() {
+// recordOwnLoads adds this host's own loads to those that peers report in
+// heartbeats.
+func (x *components) recordOwnLoads() {
 	m := x.self()
 	h := &wire.Heartbeat{From: &wire.Host{Name: m.Name, Incarnation: m.Incarnation, Domain: m.Domain, Region: m.Region}}
-	x.compose(h)
+	x.fillHeartbeat(h)
 	x.steering.gauge.Note(h)
 }
 
-func (x *parts) observations() []observation.Observation {
-	if o := x.steering.observed.Load(); o != nil {
+func (x *components) observations() []observation.Observation {
+	if o := x.steering.lastObservations.Load(); o != nil {
 		return *o
 	}
 	return nil
 }
 
-func (x *parts) preset() preset.Preset {
+func (x *components) preset() preset.Preset {
 	if s := x.follower.Snapshot(); s != nil {
 		return s.Preset
 	}
 	return preset.Preset{}
 }
 
-func (x *parts) drainingRegions() map[string]bool {
+func (x *components) drainingRegions() map[string]bool {
 	r := make(map[string]bool)
 	if s := x.follower.Snapshot(); s != nil {
 		for _, v := range s.Config.Regions {
@@ -209,15 +216,16 @@
 	return r
 }
 
-func (x *parts) domains() []domain.Domain {
+func (x *components) domains() []domain.Domain {
 	if s := x.follower.Snapshot(); s != nil {
 		return s.Config.Domains
 	}
 	return nil
 }
 
-// share returns the part of a service's callers that a region has.
-func (x *parts) share(service, region string) float64 {
+// regionShare returns the fraction of a service's callers that the plan assigns
+// to a region.
+func (x *components) regionShare(service, region string) float64 {
 	c := make(map[string]float64)
 	t := 0.0
 	for _, o := range x.observations() {
@@ -234,9 +242,9 @@
 	return x.steering.plans.Plan().Share(service, region, c)
 }
 
-// room returns the part of a service's callers that the regions that are heard
-// can take within the headroom.
-func (x *parts) room(service string) float64 {
+// spareCapacity returns the unused capacity of the live regions, within the
+// headroom, as a fraction of a service's demand.
+func (x *components) spareCapacity(service string) float64 {
 	f, d := 0.0, 0.0
 	h := 1 - x.preset().Headroom
 	for _, o := range x.observations() {
@@ -248,31 +256,33 @@
 	return f / max(d, 1)
 }
 
-// lost reports whether no host of a region was heard for long, as of the last
-// look: look-ups ask this and must not go through all hosts.
-func (x *parts) lost(region string) bool {
-	l := x.steering.lost.Load()
+// isRegionLost reports whether a region was lost at the last run of
+// updateSteering. Lookups call it and must not iterate over all hosts.
+func (x *components) isRegionLost(region string) bool {
+	l := x.steering.lostRegions.Load()
 	return l != nil && (*l)[region]
 }
 
-// silent reports whether no host of a region was heard for long.
-func (x *parts) silent(region string) bool {
+// isRegionSilent reports whether no host of a region has sent a heartbeat for
+// lostAfterHolds Hold periods.
+func (x *components) isRegionSilent(region string) bool {
 	if region == x.host.Settings.Region {
 		return false
 	}
 	t := x.steering.started
 	x.steering.mu.Lock()
 	for _, k := range x.steering.known {
-		if k.member.Region == region && k.heard.After(t) {
-			t = k.heard
+		if k.member.Region == region && k.lastHeartbeat.After(t) {
+			t = k.lastHeartbeat
 		}
 	}
 	x.steering.mu.Unlock()
-	return x.host.Clock.Since(t) > lostHolds*x.host.Settings.Hold
+	return x.host.Clock.Since(t) > lostAfterHolds*x.host.Settings.Hold
 }
 
-// last returns the hosts of a region that were heard last.
-func (x *parts) last(region string) []member.Member {
+// lastKnownHosts returns the hosts of a region that have recently sent
+// heartbeats, live or not, in name order.
+func (x *components) lastKnownHosts(region string) []member.Member {
 	var r []member.Member
 	x.steering.mu.Lock()
 	for _, k := range x.steering.known {
@@ -285,16 +295,16 @@
 	return r
 }
 
-// block finds a client block in the table of its own and among those that the
-// configuration lists; the longer prefix decides.
-func (x *parts) block(a netip.Addr) (netip.Prefix, string, bool) {
+// findBlock finds the client block of an address in the block table and in the
+// configuration. The longer prefix wins.
+func (x *components) findBlock(a netip.Addr) (netip.Prefix, string, bool) {
 	p, r, ok := x.steering.blocks.Find(a)
 	s := x.follower.Snapshot()
 	if s == nil {
 		return p, r, ok
 	}
 	if !s.HasRegion(r) {
-		ok = false // the region was removed; the block waits for its change
+		ok = false // the region was removed, and the block table has not been updated yet
 	}
 	if q, n, k := s.Block(a); k && (!ok || q.Bits() > p.Bits()) {
 		return q, n, k
@@ -302,16 +312,16 @@
 	return p, r, ok
 }
 
-// roster returns the hosts that look-ups choose from. It is compared once a
-// second and not made for each look-up.
-func (x *parts) roster() *roster.Roster {
+// roster returns the hosts that lookups choose from. updateSteering refreshes
+// it once per planInterval; it is not built for each lookup.
+func (x *components) roster() *roster.Roster {
 	if r := x.steering.roster.Load(); r != nil {
 		return r
 	}
 	return x.newRoster()
 }
 
-func (x *parts) newRoster() *roster.Roster {
+func (x *components) newRoster() *roster.Roster {
 	return roster.New(x.hosts(), func(domain string) int {
 		if s := x.follower.Snapshot(); s != nil {
 			return s.Slots(domain)
--- a/host/product.go
+++ b/host/product.go
@@ -20,38 +20,40 @@
 )
 
 const (
-	// listTimeout keeps the state quick to read while the platform is down.
-	listTimeout = 500 * time.Millisecond
-	// keepEvery is weighed in docs/decisions/0052-burn.md.
-	keepEvery    = 5 * time.Minute
-	historyEvery = 200 * time.Millisecond
+	// hostListTimeout bounds the read of the host list, so that the status is
+	// available quickly while the platform is down.
+	hostListTimeout = 500 * time.Millisecond
+	// storeCountsInterval is explained in docs/decisions/0052-burn.md.
+	storeCountsInterval = 5 * time.Minute
+	historyInterval     = 200 * time.Millisecond
 )
 
-// connections closes the host's own connections last, when no part uses them
-// any more.
-func (x *parts) connections(ctx context.Context) error {
+// closeConnections closes the host's outgoing connections when ctx ends, which
+// is after all components that use them have stopped.
+func (x *components) closeConnections(ctx context.Context) error {
 	<-ctx.Done()
 	x.peerclient.Close()
 	x.dispatch.Upstream.Close()
 	return nil
 }
 
-// operators is the handler of the operator address.
-func (x *parts) operators() http.Handler {
+// operatorHandler returns the handler of the operator address.
+func (x *components) operatorHandler() http.Handler {
 	return &operator.Operator{
 		Log: x.host.Log, Snapshot: x.follower.Snapshot, History: &x.history,
-		Change: x.newChange(), Check: validate.Config, Status: x.status, Sums: x.burn.Sums, Kept: x.kept, Why: x.why,
+		Change: x.newChange(), Check: validate.Config, Status: x.status, Sums: x.burn.Sums, Kept: x.storedCounts, Why: x.explainLookup,
 	}
 }
 
-// newBurn makes the parts that count for the burn report.
-func (x *parts) newBurn() {
-	x.burn = &burn.Burn{Clock: x.host.Clock, Self: x.self(), Latency: x.promised, Loads: x.lanes.Loads}
-	x.keep = &keep.Keep{Clock: x.host.Clock, Log: x.host.Log, Platform: x.host.Platform, Every: keepEvery, Sums: x.burn.Sums}
+// newBurn creates the components that count requests for the burn report.
+func (x *components) newBurn() {
+	x.burn = &burn.Burn{Clock: x.host.Clock, Self: x.self(), Latency: x.latencyObjective, Loads: x.lanes.Loads}
+	x.keep = &keep.Keep{Clock: x.host.Clock, Log: x.host.Log, Platform: x.host.Platform, Every: storeCountsInterval, Sums: x.burn.Sums}
 }
 
-// promised returns the objective's latency of a service.
-func (x *parts) promised(service string) time.Duration {
+// latencyObjective returns the latency objective of a service, zero if there is
+// none.
+func (x *components) latencyObjective(service string) time.Duration {
 	s := x.follower.Snapshot()
 	if s == nil {
 		return 0
@@ -64,41 +66,43 @@
 	return 0
 }
 
-func (x *parts) done(r *request.Request, o outcome.Outcome, d time.Duration) {
+func (x *components) recordOutcome(r *request.Request, o outcome.Outcome, d time.Duration) {
 	x.host.Counter.Add(o.Outcome)
 	x.burn.Record(r.Credential.Account, r.Service.Name, o, d)
 }
 
-func (x *parts) drained(name, sign string, d time.Duration) {
+func (x *components) recordDrain(name, sign string, d time.Duration) {
 	x.host.Log.Info("backend server drained", "Backend", name, "Sign", sign, "Took", d)
 	x.burn.Drained(name, d)
 }
 
-// kept returns the counts of processes that this host does not hear.
-func (x *parts) kept(ctx context.Context) ([]sums.Sums, error) {
+// storedCounts returns the stored counts of processes that this host receives
+// no heartbeats from.
+func (x *components) storedCounts(ctx context.Context) ([]sums.Sums, error) {
 	h := x.hosts()
 	return x.keep.Kept(ctx, func(host string, incarnation uint64) bool {
 		return slices.ContainsFunc(h, func(m member.Member) bool { return m.Name == host && m.Incarnation == incarnation })
 	})
 }
 
-// remember feeds the history. A version that is in force for less than the
-// interval is missed, and nobody has made a change from it either.
-func (x *parts) remember(ctx context.Context) error {
+// recordHistory adds the configurations in force to the history, and publishes
+// the gauges. A version that is in force for less than historyInterval is
+// missed, but no change is based on such a version either.
+func (x *components) recordHistory(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if s := x.follower.Snapshot(); s != nil {
 			x.history.Add(s.Config)
 		}
-		x.measure()
+		x.publishGauges()
 		select {
 		case <-ctx.Done():
-		case <-x.host.Clock.After(historyEvery):
+		case <-x.host.Clock.After(historyInterval):
 		}
 	}
 	return nil
 }
 
-func (x *parts) status(ctx context.Context) status.Status {
+func (x *components) status(ctx context.Context) status.Status {
 	s := status.Status{Host: x.self(), Peers: x.membership.Alive()}
 	if c := x.follower.Snapshot(); c != nil {
 		s.ConfigVersion = c.Config.Version
@@ -109,20 +113,21 @@
 	for _, l := range x.lanes.Loads() {
 		s.Loads = append(s.Loads, load.Load{Service: l.Service, Slots: int(l.Slots), Busy: int(l.Busy), Waiting: int(l.Waiting)})
 	}
-	s.Shares = x.shares()
-	s.SlotsLent, s.SlotsBorrowed = x.site.loan.Slots()
+	s.Shares = x.rateShares()
+	s.SlotsLent, s.SlotsBorrowed = x.localDomain.loan.Slots()
 	s.DivisionEpoch = x.limits.holding.Epoch()
 	if p := x.steering.plans.Plan(); p != nil {
 		s.PlanVersion = p.Version
 		s.PlanReason = p.Reason
 	}
-	x.list(ctx, &s)
+	x.addMissingHosts(ctx, &s)
 	return s
 }
 
-// list adds what the platform's list tells.
-func (x *parts) list(ctx context.Context, s *status.Status) {
-	l, f := context.WithTimeout(ctx, listTimeout)
+// addMissingHosts adds to the status the hosts that are on the platform's list
+// but not among the live peers.
+func (x *components) addMissingHosts(ctx context.Context, s *status.Status) {
+	l, f := context.WithTimeout(ctx, hostListTimeout)
 	defer f()
 	m, err := x.host.Platform.Hosts(l)
 	if err != nil {
--- a/host/requests.go
+++ b/host/requests.go
@@ -25,32 +25,35 @@
 )
 
 const (
-	// storeTimeout is how long a non-idempotent request waits for the store
-	// before it is refused; the store may be a region away.
+	// storeTimeout is how long a non-idempotent request waits for the store,
+	// which may be in another region, before the request is refused.
 	storeTimeout = time.Second
-	// commitGap lets a host make at most 40 commits a second before requests
-	// leave, and 10 after they ended: 550 from 11 hosts at the very worst.
-	commitGap   = 25 * time.Millisecond
-	commitLimit = 64
-	// retention is how long callers may repeat a request under its id.
+	// minCommitInterval limits a host to 40 commits per second before requests
+	// are sent, and 10 after they ended. In the worst case, 11 hosts make 550
+	// commits per second.
+	minCommitInterval = 25 * time.Millisecond
+	maxCommitBatch    = 64
+	// retention is how long callers may repeat a request with the same
+	// idempotency ID.
 	retention = 24 * time.Hour
 
 	ticketLifetime = 10 * time.Minute
-	ticketBytes    = 32 << 20
-	ticketLimit    = 50_000
-
-	hedgeInitial = 250 * time.Millisecond
-	hedgeLeast   = 20 * time.Millisecond
-	hedgeMost    = time.Second
-
-	heldBytes    = 64 << 10
-	readPatience = 10 * time.Second
-	// leaveNotice is how long a leaving host still takes requests, in
-	// heartbeats: by then every peer that it can reach has heard of it.
-	leaveNotice = 3
+	maxTicketBytes = 32 << 20
+	maxTickets     = 50_000
+
+	initialHedgeDelay = 250 * time.Millisecond
+	minHedgeDelay     = 20 * time.Millisecond
+	maxHedgeDelay     = time.Second
+
+	maxHeldBytes    = 64 << 10
+	slowReadTimeout = 10 * time.Second
+	// leaveNoticeHeartbeats is how long a host that is shutting down still
+	// accepts requests, in heartbeat intervals. After that time, every
+	// reachable peer has received a heartbeat that marks the host as leaving.
+	leaveNoticeHeartbeats = 3
 )
 
-// requests are the parts on the path of a request.
+// requests holds the components that process requests.
 type requests struct {
 	idempotency *idempotency.Idempotency
 	expiry      *expiry.Expiry
@@ -59,84 +62,84 @@
 	closed      atomic.Bool
 }
 
-func (x *parts) newRequests() {
+func (x *components) newRequests() {
 	h := x.host
 	q := &x.requests
 	q.idempotency = &idempotency.Idempotency{
 		Clock: h.Clock, Platform: h.Platform, Host: h.Settings.Name, Incarnation: h.Incarnation,
-		Group: &group.Group{Clock: h.Clock, Commit: h.Platform.Commit, Gap: commitGap, Limit: commitLimit, Timeout: storeTimeout},
-		Alive: x.alive, Timeout: storeTimeout, Index: expiry.Index,
+		Group: &group.Group{Clock: h.Clock, Commit: h.Platform.Commit, Gap: minCommitInterval, Limit: maxCommitBatch, Timeout: storeTimeout},
+		Alive: x.isProcessAlive, Timeout: storeTimeout, Index: expiry.Index,
 	}
-	q.expiry = &expiry.Expiry{Clock: h.Clock, Log: h.Log, Platform: h.Platform, Retention: retention, Sweeps: x.sweeps}
+	q.expiry = &expiry.Expiry{Clock: h.Clock, Log: h.Log, Platform: h.Platform, Retention: retention, Sweeps: x.runsExpirySweep}
 	q.tickets = &ticket.Ticket{
-		Clock: h.Clock, Host: h.Settings.Name, Incarnation: h.Incarnation, Find: x.find,
-		Lifetime: ticketLifetime, Bytes: ticketBytes, Limit: ticketLimit,
+		Clock: h.Clock, Host: h.Settings.Name, Incarnation: h.Incarnation, Find: x.processCallerAddress,
+		Lifetime: ticketLifetime, Bytes: maxTicketBytes, Limit: maxTickets,
 	}
 	x.dispatch = &dispatch.Dispatch{
-		Clock: h.Clock, Queue: x.lanes.Queue, Valid: x.admission.Valid, Confirm: x.confirm, Upstream: upstream.New(h.Clock, dialTimeout),
+		Clock: h.Clock, Queue: x.lanes.Queue, Valid: x.admission.Valid, Confirm: x.confirmToken, Upstream: upstream.New(h.Clock, dialTimeout),
 		Timeout: func() time.Duration { return x.follower.Snapshot().Preset.MaxWait },
 		Budget:  &budget.Budget{Ratio: func() float64 { return x.follower.Snapshot().Preset.RetryBudget }},
-		Hedge:   &hedge.Hedge{Initial: hedgeInitial, Least: hedgeLeast, Most: hedgeMost},
-		Whole:   &whole.Whole{Clock: h.Clock, Limit: heldBytes, Patience: readPatience},
+		Hedge:   &hedge.Hedge{Initial: initialHedgeDelay, Least: minHedgeDelay, Most: maxHedgeDelay},
+		Whole:   &whole.Whole{Clock: h.Clock, Limit: maxHeldBytes, Patience: slowReadTimeout},
 	}
 }
 
-// callers is the handler of the caller address.
-func (x *parts) callers() http.Handler {
+// callerHandler returns the handler of the caller address.
+func (x *components) callerHandler() http.Handler {
 	q := &x.requests
 	o := &once.Once{Begin: q.idempotency.Begin, End: q.idempotency.End, Tickets: q.tickets}
 	e := &entry.Entry{
 		Clock: x.host.Clock, Log: x.host.Log, Snapshot: x.follower.Snapshot, Admission: x.admission,
-		Quota: x.quota, Local: x.local, Forward: x.forward.Serve, EntryHosts: x.entryHosts, Done: x.done,
+		Quota: x.quota, Local: x.serveCaller, Forward: x.forward.Serve, EntryHosts: x.entryHosts, Done: x.recordOutcome,
 		Once: o.Serve, Leaving: x.leaving.Load, Closed: q.closed.Load,
 	}
 	m := http.NewServeMux()
 	m.Handle("GET /lookup", x.lookup)
 	m.Handle("GET /tickets", &mint.Mint{Admission: x.admission, Ticket: q.tickets, EntryHost: x.host.Settings.CallerAddress})
-	m.Handle("/", x.counted(x.mark(e)))
-	return x.gate(m)
+	m.Handle("/", x.countInFlight(x.markRemoteCallers(e)))
+	return x.requireReady(m)
 }
 
-// counted counts the requests that a graceful shutdown waits for.
-func (x *parts) counted(h http.Handler) http.Handler {
+// countInFlight counts the requests in flight, which shutDown waits for.
+func (x *components) countInFlight(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer x.requests.inflight.Begin()()
 		h.ServeHTTP(w, r)
 	})
 }
 
-// serveForwarded runs a request of another failure domain.
-func (x *parts) serveForwarded(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
+// serveForwarded runs a request that another failure domain forwarded.
+func (x *components) serveForwarded(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
 	defer x.requests.inflight.Begin()()
 	if x.requests.closed.Load() {
 		return outcome.Outcome{Outcome: outcome.NoCapacity, Ran: outcome.RanNo, Message: "the host is shutting down"}
 	}
-	return x.serve(ctx, r, w)
+	return x.serveLocally(ctx, r, w)
 }
 
-// leave prepares the end of the host. First it only tells everybody, and still
-// serves those who have not heard; then it refuses what is new and waits for
-// what it has begun.
-func (x *parts) leave(ctx context.Context) {
+// shutDown drains the host. It first announces the shutdown and continues to
+// serve hosts and callers that have not received the announcement; then it
+// refuses new requests and waits for those in flight.
+func (x *components) shutDown(ctx context.Context) {
 	h := x.host
 	x.leaving.Store(true)
 	h.Log.Info("host leaves", "Host", h.Settings.Name, "DrainTimeout", h.Settings.DrainTimeout, "Note", "a second signal ends at once")
 	d := make(chan struct{})
-	n := leaveNotice * h.Settings.Heartbeat
-	go x.sayLeaving(ctx, n, d)
+	n := leaveNoticeHeartbeats * h.Settings.Heartbeat
+	go x.announceLeaving(ctx, n, d)
 	h.Clock.Sleep(n)
 	<-d
 	x.requests.closed.Store(true)
 	y, f := deadline.With(ctx, h.Clock, h.Settings.DrainTimeout)
 	defer f()
 	c := x.requests.inflight.Wait(y)
-	h.cut.Store(int64(c))
+	h.unfinished.Store(int64(c))
 	h.Log.Info("host drained", "Host", h.Settings.Name, "Cut", c)
 }
 
-// sayLeaving marks the host on the platform's list at once; peers hear it with
-// the next heartbeat.
-func (x *parts) sayLeaving(ctx context.Context, t time.Duration, done chan<- struct{}) {
+// announceLeaving immediately marks the host as leaving in the platform's host
+// list. Peers learn it from the next heartbeat.
+func (x *components) announceLeaving(ctx context.Context, t time.Duration, done chan<- struct{}) {
 	defer close(done)
 	y, f := deadline.With(ctx, x.host.Clock, t)
 	defer f()
@@ -145,14 +148,14 @@
 	}
 }
 
-// alive reports whether a process is among the peers that are heard.
-func (x *parts) alive(name string, incarnation uint64) bool {
-	_, ok := x.find(name, incarnation)
+// isProcessAlive reports whether a process is a live peer.
+func (x *components) isProcessAlive(name string, incarnation uint64) bool {
+	_, ok := x.processCallerAddress(name, incarnation)
 	return ok
 }
 
-// find returns the caller address of a peer process that is heard.
-func (x *parts) find(name string, incarnation uint64) (string, bool) {
+// processCallerAddress returns the caller address of a live peer process.
+func (x *components) processCallerAddress(name string, incarnation uint64) (string, bool) {
 	for _, m := range x.membership.Alive() {
 		if m.Name == name && m.Incarnation == incarnation {
 			return m.CallerAddress, true
@@ -161,8 +164,9 @@
 	return "", false
 }
 
-// sweeps reports whether this host has the first name of all that are heard.
-func (x *parts) sweeps() bool {
+// runsExpirySweep reports whether this host removes expired records: the live
+// host whose name comes first does.
+func (x *components) runsExpirySweep() bool {
 	for _, m := range x.membership.Alive() {
 		if m.Name < x.host.Settings.Name {
 			return false
--- a/host/secure.go
+++ b/host/secure.go
@@ -11,45 +11,45 @@
 	"celeryreach.example/celeryreach/certs"
 )
 
-// secure puts TLS before the listeners whose settings name certificates.
-func (h *Host) secure(callers, peers, operators net.Listener) (c, p, o net.Listener, err error) {
+// wrapTLS wraps the listeners whose settings name certificates in TLS.
+func (h *Host) wrapTLS(callers, peers, operators net.Listener) (c, p, o net.Listener, err error) {
 	s := h.Settings
 	c, p, o = callers, peers, operators
 	if s.CallerTLS != nil {
-		x, err := h.certs("CallerTLS", *s.CallerTLS)
+		x, err := h.loadCerts("CallerTLS", *s.CallerTLS)
 		if err != nil {
 			return nil, nil, nil, err
 		}
 		c = tls.NewListener(callers, x.Server())
 	}
 	if s.OperatorTLS != nil {
-		x, err := h.certs("OperatorTLS", *s.OperatorTLS)
+		x, err := h.loadCerts("OperatorTLS", *s.OperatorTLS)
 		if err != nil {
 			return nil, nil, nil, err
 		}
 		o = tls.NewListener(operators, x.Server())
 	}
 	if s.PeerTLS != nil {
-		x, err := h.certs("PeerTLS", *s.PeerTLS)
+		x, err := h.loadCerts("PeerTLS", *s.PeerTLS)
 		if err != nil {
 			return nil, nil, nil, err
 		}
-		h.peers = x
+		h.peerCerts = x
 		p = tls.NewListener(peers, x.Mutual())
 	}
 	return c, p, o, nil
 }
 
-func (h *Host) certs(field string, f certificate.Certificate) (*certs.Certs, error) {
+func (h *Host) loadCerts(field string, f certificate.Certificate) (*certs.Certs, error) {
 	c := &certs.Certs{Clock: h.Clock, Log: h.Log, Certificate: f}
 	return c, errors.Wrap(c.Load(), field)
 }
 
-// dialPeer opens a connection to another host and, with PeerTLS, proves to it
-// that this is a host, and has it prove the same.
+// dialPeer opens a connection to another host. With PeerTLS, both sides
+// authenticate each other as hosts.
 func (h *Host) dialPeer(ctx context.Context, address string) (net.Conn, error) {
 	n, err := h.Dial(ctx, address)
-	if err != nil || h.peers == nil {
+	if err != nil || h.peerCerts == nil {
 		return n, err
 	}
 	a, _, err := net.SplitHostPort(address)
@@ -58,7 +58,7 @@
 	}
 	x, f := context.WithTimeout(ctx, dialTimeout)
 	defer f()
-	c := tls.Client(n, h.peers.Client(a))
+	c := tls.Client(n, h.peerCerts.Client(a))
 	if err := c.HandshakeContext(x); err != nil {
 		_ = n.Close()
 		return nil, errors.Wrap(err, "handshake")
--- a/host/steering.go
+++ b/host/steering.go
@@ -30,54 +30,55 @@
 )
 
 const (
-	pollers      = 2 // hosts of a failure domain that read the platform often
-	pollOften    = time.Second
-	pollRarely   = 30 * time.Second
-	relayFanout  = 16
-	relayTimeout = time.Second
-	relayRetry   = time.Second
-	rememberFor  = 10 * time.Minute
-	readyPoll    = 50 * time.Millisecond
-	readyHolds   = 3
-	lookupPath   = "/lookup"
-	// aloneAfter is the silence from outside after which a starting host no
-	// longer waits for its part of the limits. While it is cut off it gets
-	// none, and it serves what needs none.
-	aloneAfter = 800 * time.Millisecond
-	// chunksTimeout bounds the fetching of all chunks by a host that starts.
+	readersPerDomain     = 2 // hosts of a failure domain that poll the platform frequently
+	frequentPollInterval = time.Second
+	rarePollInterval     = 30 * time.Second
+	relayFanout          = 16
+	relayTimeout         = time.Second
+	relayRetry           = time.Second
+	knownHostRetention   = 10 * time.Minute
+	readyPollInterval    = 50 * time.Millisecond
+	maxReadyWaitHolds    = 3
+	lookupPath           = "/lookup"
+	// isolatedAfter is how long a starting host receives nothing from other
+	// failure domains before it stops waiting for its share of the limits. An
+	// isolated host cannot get a share, and serves the requests that need none.
+	isolatedAfter = 800 * time.Millisecond
+	// chunksTimeout bounds the time in which a starting host fetches all chunks
+	// of client blocks.
 	chunksTimeout = time.Minute
 )
 
-// steering holds the parts that follow the configuration and the plan.
+// steering holds the components that follow the configuration and the plan.
 type steering struct {
 	relay     *relay.Relay
 	freshness *freshness.Freshness
-	current   atomic.Bool // has the newest versions: look-ups may be answered
-	ready     atomic.Bool // has its part of the limits as well
+	current   atomic.Bool // has the newest versions, so it may answer lookups
+	ready     atomic.Bool // also has its share of the limits, so it may serve requests
 
 	mu     sync.Mutex
 	known  map[string]knownHost
 	newest map[string]uint64 // by kind
 
-	plans    *planfollower.Planfollower
-	blocks   *blockfollower.Blockfollower
-	planner  *planner.Planner
-	lease    *lease.Lease
-	meter    *meter.Meter
-	gauge    *gauge.Gauge
-	failover *failover.Failover
-	started  time.Time
-	observed atomic.Pointer[[]observation.Observation]
-	roster   atomic.Pointer[roster.Roster]
-	lost     atomic.Pointer[map[string]bool]
+	plans            *planfollower.Planfollower
+	blocks           *blockfollower.Blockfollower
+	planner          *planner.Planner
+	lease            *lease.Lease
+	meter            *meter.Meter
+	gauge            *gauge.Gauge
+	failover         *failover.Failover
+	started          time.Time
+	lastObservations atomic.Pointer[[]observation.Observation]
+	roster           atomic.Pointer[roster.Roster]
+	lostRegions      atomic.Pointer[map[string]bool]
 }
 
 type knownHost struct {
-	member member.Member
-	heard  time.Time
+	member        member.Member
+	lastHeartbeat time.Time
 }
 
-func (x *parts) newSteering() *steering {
+func (x *components) newSteering() *steering {
 	h := x.host
 	s := &steering{
 		freshness: &freshness.Freshness{Clock: h.Clock},
@@ -92,17 +93,17 @@
 			},
 		},
 		known: make(map[string]knownHost), newest: make(map[string]uint64), meter: new(meter.Meter), started: h.Clock.Now(),
-		gauge: &gauge.Gauge{Clock: h.Clock, Window: gaugeWindow, Hold: lostHolds * h.Settings.Hold},
+		gauge: &gauge.Gauge{Clock: h.Clock, Window: gaugeWindow, Hold: lostAfterHolds * h.Settings.Hold},
 	}
 	s.plans = &planfollower.Planfollower{
-		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Poll: x.pollEvery,
+		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Poll: x.pollInterval,
 		Changed: func() {
 			s.relay.Wake()
 			s.failover.Planned()
 		},
 	}
 	s.blocks = &blockfollower.Blockfollower{
-		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Poll: x.pollEvery, Changed: s.relay.Wake, Timeout: chunksTimeout,
+		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Poll: x.pollInterval, Changed: s.relay.Wake, Timeout: chunksTimeout,
 		Fetch: func(ctx context.Context, hash string) ([]byte, error) {
 			return s.relay.Ask(ctx, s.blocks.Replica(), blockfollower.ChunkKind, hash)
 		},
@@ -113,60 +114,61 @@
 		}
 		return s.blocks.Chunk(hash)
 	}
-	s.failover = &failover.Failover{Clock: h.Clock, Preset: x.preset, Share: x.share, Room: x.room}
+	s.failover = &failover.Failover{Clock: h.Clock, Preset: x.preset, Share: x.regionShare, Room: x.spareCapacity}
 	s.lease = x.newLease()
 	s.planner = x.newPlanner(s)
 	return s
 }
 
-func (x *parts) newFollower() *follower.Follower {
+func (x *components) newFollower() *follower.Follower {
 	h := x.host
 	return &follower.Follower{
-		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Poll: x.pollEvery, Changed: x.steering.relay.Wake,
+		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Poll: x.pollInterval, Changed: x.steering.relay.Wake,
 		Polled: x.steering.freshness.Seen,
 	}
 }
 
-func (x *parts) newChange() *change.Change {
+func (x *components) newChange() *change.Change {
 	return &change.Change{
 		Platform: x.host.Platform, Clock: x.host.Clock,
-		// The accepting host does not wait for its next read: a withdrawal is
-		// on its way to all hosts as soon as it is accepted.
+		// The accepting host applies the change without waiting for its next
+		// poll, so that the withdrawal of a key is distributed to all hosts as
+		// soon as it is accepted.
 		Accepted: func(a accepted.Accepted, b []byte) {
 			if err := x.follower.Offer(a.Version, a.Hash, b); err != nil {
-				x.host.Log.Error("accepted configuration not applied", "Version", a.Version, "Error", err)
+				x.host.Log.Error("cannot apply accepted configuration", "Version", a.Version, "Error", err)
 			}
 		},
 	}
 }
 
-func (x *parts) replicas() []*replica.Replica {
+func (x *components) replicas() []*replica.Replica {
 	return []*replica.Replica{x.follower.Replica(), x.steering.plans.Replica(), x.steering.blocks.Replica()}
 }
 
-// pollEvery returns the time to the next read of the platform. The first two
-// living hosts of a failure domain by name read often and the relay does the
-// rest: 27 failure domains cost 54 reads a second, however many hosts they
-// have. The others read rarely, in case those two are cut from the platform
-// alone.
-func (x *parts) pollEvery() time.Duration {
-	if x.reads() || x.follower.Snapshot() == nil {
-		return pollOften
+// pollInterval returns the time until the next read of the platform. The first
+// two live hosts of a failure domain in name order poll frequently, and the
+// relay distributes what they read: 27 failure domains cause 54 reads per
+// second, regardless of their number of hosts. The other hosts poll rarely, in
+// case only the two frequent readers are disconnected from the platform.
+func (x *components) pollInterval() time.Duration {
+	if x.isFrequentReader() || x.follower.Snapshot() == nil {
+		return frequentPollInterval
 	}
-	return pollRarely
+	return rarePollInterval
 }
 
-// reads reports whether this host is one of those of its failure domain that
-// read the platform often.
-func (x *parts) reads() bool {
+// isFrequentReader reports whether this host is one of those of its failure
+// domain that poll the platform frequently.
+func (x *components) isFrequentReader() bool {
 	_, i := x.siblings()
-	return i < pollers
+	return i < readersPerDomain
 }
 
-// stale reports whether keys may have been withdrawn unheard for too long.
-// With one failure domain every change is accepted by a host of it, so nothing
-// can be missed.
-func (x *parts) stale(nonIdempotent bool) bool {
+// areKeysStale reports whether withdrawals of keys may have been missed for
+// longer than the configured staleness. With one failure domain none can be
+// missed, because every change is accepted by a host of that domain.
+func (x *components) areKeysStale(nonIdempotent bool) bool {
 	s := x.follower.Snapshot()
 	if s == nil || len(s.Config.Domains) < 2 {
 		return false
@@ -174,7 +176,7 @@
 	return x.steering.freshness.Stale(s.Config.KeyStaleness, nonIdempotent)
 }
 
-func (x *parts) composeSteering(h *wire.Heartbeat) {
+func (x *components) fillSteering(h *wire.Heartbeat) {
 	for _, r := range x.steering.relay.Replicas {
 		v := r.Digest()
 		v.Hash = accepted.Short(v.Hash)
@@ -187,7 +189,7 @@
 	})
 }
 
-func (x *parts) heardSteering(h *wire.Heartbeat) {
+func (x *components) handleSteering(h *wire.Heartbeat) {
 	s := x.steering
 	if h.From.Domain == x.host.Settings.Domain {
 		s.freshness.Heard(h.KeyAgeNanoseconds)
@@ -195,7 +197,7 @@
 		s.freshness.Seen()
 	}
 	s.relay.Heard(h.From.Name, h.Versions)
-	s.note(h, x.host.Clock.Now())
+	s.recordHeartbeat(h, x.host.Clock.Now())
 	s.gauge.Note(h)
 	if !s.ready.Load() {
 		for _, e := range h.Evacuations {
@@ -204,12 +206,12 @@
 	}
 }
 
-// note remembers the peer and the highest version of the configuration that
-// anybody told of.
-func (s *steering) note(h *wire.Heartbeat, now time.Time) {
+// recordHeartbeat records the sender of a heartbeat and, for each kind of
+// replica, the highest version that any peer reported.
+func (s *steering) recordHeartbeat(h *wire.Heartbeat, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.known[h.From.Name] = knownHost{heard: now, member: member.Member{
+	s.known[h.From.Name] = knownHost{lastHeartbeat: now, member: member.Member{
 		Name: h.From.Name, Domain: h.From.Domain, Region: h.From.Region, CallerAddress: h.From.CallerAddress,
 	}}
 	for _, v := range h.Versions {
@@ -217,13 +219,14 @@
 	}
 }
 
-// inForce sums up what heartbeats tell of a version.
-func (x *parts) inForce(version uint64) inforce.Inforce {
+// inForce returns on which hosts a configuration version is in force, as
+// reported by heartbeats.
+func (x *components) inForce(version uint64) inforce.Inforce {
 	n := x.host.Clock.Now()
 	var k []member.Member
 	x.steering.mu.Lock()
 	for a, v := range x.steering.known {
-		if n.Sub(v.heard) > rememberFor {
+		if n.Sub(v.lastHeartbeat) > knownHostRetention {
 			delete(x.steering.known, a)
 			continue
 		}
@@ -240,21 +243,23 @@
 	return inforce.Of(version, v, x.self(), k, d, x.membership.Last)
 }
 
-// becomeReady lets callers in once the host has the highest version that it
-// can learn of: the platform's, or, while the platform cannot be reached, the
-// highest that peers tell of within Hold. A host that began with the first
-// version it met could take a key that was withdrawn long ago; one without the
-// plan would send callers home whom the plan has moved, over any cap.
-func (x *parts) becomeReady(ctx context.Context) error {
+// waitUntilReady admits callers once the host has the newest versions that it
+// can learn of: those of the platform or, while the platform is unreachable,
+// the highest that peers report within Hold. A host that started with the first
+// version it received could accept a key that was withdrawn long ago. Without
+// the plan it would send callers back to a region that the plan has moved them
+// away from, beyond any cap.
+func (x *components) waitUntilReady(ctx context.Context) error {
 	t := x.host.Clock.Now()
 	for !x.steering.ready.Load() {
 		w := x.host.Clock.Since(t)
-		if x.isCurrent(w) {
+		if x.hasNewestVersions(w) {
 			x.steering.current.Store(true)
 		}
-		if x.steering.current.Load() && (x.granted() || x.cutOff() || w >= readyHolds*x.host.Settings.Hold) {
+		if x.steering.current.Load() && (x.hasRateShare() || x.isIsolated() || w >= maxReadyWaitHolds*x.host.Settings.Hold) {
 			x.steering.ready.Store(true)
-			// Look-ups name this host from now on, not from the next look.
+			// Include this host in lookup answers now, not at the next run of
+			// updateSteering.
 			x.steering.roster.Store(x.newRoster())
 			x.host.Log.Info("host is ready", "Version", x.follower.Snapshot().Config.Version)
 			return nil
@@ -262,13 +267,15 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-x.host.Clock.After(readyPoll):
+		case <-x.host.Clock.After(readyPollInterval):
 		}
 	}
 	return nil
 }
 
-func (x *parts) isCurrent(waited time.Duration) bool {
+// hasNewestVersions reports whether the host has the newest versions that it
+// can learn of, or has waited for them long enough.
+func (x *components) hasNewestVersions(waited time.Duration) bool {
 	if x.follower.Snapshot() == nil {
 		return false
 	}
@@ -278,21 +285,22 @@
 		n := x.steering.newest[r.Kind]
 		x.steering.mu.Unlock()
 		if r.Digest().Version < n {
-			// A peer can tell of a version and be cut off from being asked for it.
-			return waited >= readyHolds*x.host.Settings.Hold
+			// A peer may report a version and be unreachable when this host
+			// fetches it, so the wait is bounded.
+			return waited >= maxReadyWaitHolds*x.host.Settings.Hold
 		}
 		p = p && r.Read()
 	}
-	if !x.limits.holding.Valid() && waited < readyHolds*x.host.Settings.Hold {
-		// It would refuse callers who are inside their rate.
+	if !x.limits.holding.Valid() && waited < maxReadyWaitHolds*x.host.Settings.Hold {
+		// The host would refuse callers that are within their rate.
 		return false
 	}
 	return p || waited >= x.host.Settings.Hold
 }
 
-// granted reports whether this host has a part of the accounts' rates. Before
-// that it would refuse callers as over their rate who are not.
-func (x *parts) granted() bool {
+// hasRateShare reports whether this host has a share of the accounts' rates.
+// Without one it would refuse callers as over their rate that are within it.
+func (x *components) hasRateShare() bool {
 	s := x.follower.Snapshot()
 	if s == nil || len(s.Config.Accounts) == 0 {
 		return s != nil
@@ -300,19 +308,21 @@
 	return x.grant(s.Config.Accounts[0].Name).Part(x.host.Clock.Now()) > 0
 }
 
-// cutOff reports whether nothing from outside the failure domain was heard for
-// a moment.
-func (x *parts) cutOff() bool {
-	return time.Duration(x.steering.freshness.Age()) > aloneAfter
+// isIsolated reports whether nothing was received from other failure domains
+// for isolatedAfter.
+func (x *components) isIsolated() bool {
+	return time.Duration(x.steering.freshness.Age()) > isolatedAfter
 }
 
-// gate refuses callers until the host is ready, and names hosts that may be.
-func (x *parts) gate(next http.Handler) http.Handler {
+// requireReady refuses callers until the host is ready, and names other hosts
+// that may be. Lookups are answered as soon as the host has the newest
+// versions.
+func (x *components) requireReady(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !x.steering.ready.Load() && (r.URL.Path != lookupPath || !x.steering.current.Load()) {
 			refusal.Write(w, outcome.Outcome{
 				Outcome: outcome.NoCapacity, Ran: outcome.RanNo, RetryAfter: time.Second, EntryHosts: x.entryHosts("", ""),
-				Message: "this host has just started and has not got what it needs yet",
+				Message: "this host is starting and is not ready to serve requests yet",
 			})
 			return
 		}
--- a/host/tree.go
+++ b/host/tree.go
@@ -12,25 +12,25 @@
 const (
 	restartBackoff = time.Second
 	maxBackoff     = 30 * time.Second
-	// answerTimeout is how long an address waits for its last answers, after
-	// the requests in flight have been waited for.
-	answerTimeout = time.Second
+	// lastResponseTimeout is how long a listener waits for its last responses,
+	// after the wait for requests in flight.
+	lastResponseTimeout = time.Second
 )
 
-// assemble makes the supervisor tree. Each branch depends only on those above
-// it, and ends before them: callers are served until nothing is in flight,
-// while limits, peers and configuration still work.
+// assemble builds the supervisor tree. Each branch depends only on those before
+// it and stops before them. Callers are thereby served until no request is in
+// flight, while limits, peers and configuration still work.
 func (h *Host) assemble(c, p, o net.Listener) *supervisor.Supervisor {
-	x := h.parts()
+	x := h.newComponents()
 	x.peerserver.Listener = p
-	return h.supervise(
+	return h.newSupervisor(
 		h.branch("limits", x.limits.children(x)...),
-		h.branch("domain", x.site.children(x)...),
+		h.branch("domain", x.localDomain.children(x)...),
 		h.branch("configuration",
-			child.Child{Name: "connections", Run: x.connections},
+			child.Child{Name: "connections", Run: x.closeConnections},
 			child.Child{Name: "announce", Run: x.announce},
 			child.Child{Name: "follower", Run: x.follower.Run},
-			child.Child{Name: "history", Run: x.remember},
+			child.Child{Name: "history", Run: x.recordHistory},
 		),
 		h.branch("counts",
 			child.Child{Name: "kept counts", Run: x.keep.Run},
@@ -46,25 +46,25 @@
 			child.Child{Name: "blocks", Run: x.steering.blocks.Replica().Run},
 			child.Child{Name: "lease", Run: x.campaign},
 			child.Child{Name: "planner", Run: x.steering.planner.Run},
-			child.Child{Name: "steering", Run: x.look},
-			child.Child{Name: "readiness", Run: x.becomeReady},
+			child.Child{Name: "steering", Run: x.updateSteering},
+			child.Child{Name: "readiness", Run: x.waitUntilReady},
 		),
 		h.branch("serving",
-			child.Child{Name: "operator", Run: (&httplisten.Httplisten{Listener: o, Handler: x.operators(), DrainTimeout: answerTimeout}).Run},
+			child.Child{Name: "operator", Run: (&httplisten.Httplisten{Listener: o, Handler: x.operatorHandler(), DrainTimeout: lastResponseTimeout}).Run},
 			child.Child{Name: "records", Run: x.requests.idempotency.Run},
 			child.Child{Name: "expiry", Run: x.requests.expiry.Run},
 			child.Child{Name: "callers", Run: (&httplisten.Httplisten{
-				Listener: c, Handler: x.callers(), Leave: x.leave, DrainTimeout: answerTimeout,
+				Listener: c, Handler: x.callerHandler(), Leave: x.shutDown, DrainTimeout: lastResponseTimeout,
 			}).Run},
 		),
 	)
 }
 
-func (h *Host) supervise(c ...child.Child) *supervisor.Supervisor {
+func (h *Host) newSupervisor(c ...child.Child) *supervisor.Supervisor {
 	return &supervisor.Supervisor{Clock: h.Clock, Log: h.Log, Backoff: restartBackoff, MaxBackoff: maxBackoff, Children: c}
 }
 
-// branch is a supervisor of its own below another one.
+// branch returns a child that runs its own supervisor.
 func (h *Host) branch(name string, c ...child.Child) child.Child {
-	return child.Child{Name: name, Run: h.supervise(c...).Run}
+	return child.Child{Name: name, Run: h.newSupervisor(c...).Run}
 }
--- a/host/why.go
+++ b/host/why.go
@@ -8,11 +8,12 @@
 	"celeryreach.example/celeryreach/why"
 )
 
-// why explains the answer to a look-up by the steps that made it.
-func (x *parts) why(account, service, region string, a netip.Addr) why.Why {
+// explainLookup returns the answer to a lookup together with the intermediate
+// results that led to it.
+func (x *components) explainLookup(account, service, region string, a netip.Addr) why.Why {
 	w := why.Why{Home: region}
 	w.Answer, w.Refusal = x.lookup.Find(account, service, region, a)
-	p, h, ok := x.block(a)
+	p, h, ok := x.findBlock(a)
 	if ok {
 		w.Block = p.String()
 	}
@@ -31,7 +32,7 @@
 	}
 	if s := x.follower.Snapshot(); s != nil {
 		for _, r := range s.Config.Regions {
-			if x.lost(r.Name) {
+			if x.isRegionLost(r.Name) {
 				w.Lost = append(w.Lost, r.Name)
 			}
 		}
@@ -44,9 +45,9 @@
 	return w
 }
 
-// shares are the host's parts of the rates. An account of which it may use
-// nothing is left out.
-func (x *parts) shares() []share.Share {
+// rateShares returns the host's shares of the accounts' rates, without accounts
+// of which the host may use nothing.
+func (x *components) rateShares() []share.Share {
 	s := x.follower.Snapshot()
 	if s == nil {
 		return nil
