--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -17,8 +17,8 @@
 	"celeryreach.example/celeryreach/backendstandin"
 )
 
-func newSite(b *testing.B, servers int) *site {
-	s := &site{clock: clockwork.NewRealClock(), patience: time.Minute, handlers: make(map[string]*backendstandin.Backendstandin), done: make(chan string, 100_000)}
+func newTestHost(b *testing.B, servers int) *testHost {
+	s := &testHost{clock: clockwork.NewRealClock(), maxWait: time.Minute, handlers: make(map[string]*backendstandin.Backendstandin), done: make(chan string, 100_000)}
 	b.Cleanup(func() {
 		for i := len(s.stop) - 1; i >= 0; i-- {
 			s.stop[i]()
@@ -35,12 +35,12 @@
 	return s
 }
 
-// BenchmarkAddedLatency compares a call through the entry host with a direct
-// call of the backend server, in turn and in one run.
+// BenchmarkAddedLatency alternates between requests through the host and direct
+// requests to the backend server, and reports the latency of both.
 func BenchmarkAddedLatency(b *testing.B) {
 	for _, m := range []string{http.MethodGet, http.MethodPost} {
 		b.Run(m, func(b *testing.B) {
-			s := newSite(b, 1)
+			s := newTestHost(b, 1)
 			t := new(http.Transport)
 			defer t.CloseIdleConnections()
 			one := func(address string, n int) time.Duration {
@@ -61,7 +61,7 @@
 			var d, v []time.Duration
 			for n := 0; b.Loop(); n++ {
 				if n%1000 == 999 {
-					<-s.clock.After(time.Second) // the account's burst
+					<-s.clock.After(time.Second) // refills the account's burst
 				}
 				d = append(d, one(s.servers[0].Address, n))
 				v = append(v, one(s.address, n))
@@ -79,11 +79,12 @@
 	b.ReportMetric(float64(d[len(d)*99/100])/1e6, name+"-p99-ms")
 }
 
-// BenchmarkWaitingCallers measures what a caller costs that waits for a slot.
+// BenchmarkWaitingCallers measures the memory and goroutines that a caller
+// waiting for a slot uses.
 func BenchmarkWaitingCallers(b *testing.B) {
 	const callers = 900
 	for b.Loop() {
-		s := newSite(b, 0)
+		s := newTestHost(b, 0)
 		var f, g runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&f)
@@ -109,12 +110,13 @@
 	}
 }
 
-// BenchmarkEnrolments measures the store's part of enrolments with ids of the
-// callers' own, and with tickets. The gap is that of a host.
+// BenchmarkEnrolments measures the cost in the store of enrolments with IDs
+// chosen by callers and with tickets. The minimum interval between commits is
+// that of a host.
 func BenchmarkEnrolments(b *testing.B) {
 	for _, m := range []string{"own", "ticket"} {
 		b.Run(m, func(b *testing.B) {
-			s := newSite(b, 1)
+			s := newTestHost(b, 1)
 			s.group.Gap = 25 * time.Millisecond
 			const callers = 64
 			d := make(chan int, callers)
@@ -150,11 +152,11 @@
 	}
 }
 
-// BenchmarkThroughput compares listings through the entry host with direct ones,
-// with as many callers as there are cores. The callers and the backend server
-// share the cores with the host.
+// BenchmarkThroughput compares requests through the host with direct ones, with
+// as many callers as there are cores. The callers and the backend server share
+// the cores with the host.
 func BenchmarkThroughput(b *testing.B) {
-	s := newSite(b, 1)
+	s := newTestHost(b, 1)
 	for _, v := range []struct{ name, address string }{{"direct", s.servers[0].Address}, {"through", s.address}} {
 		b.Run(v.name, func(b *testing.B) {
 			c := s.clock.Now()
--- a/entry/body.go
+++ b/entry/body.go
@@ -14,11 +14,12 @@
 	"celeryreach.example/celeryreach/request"
 )
 
-// heldBytes is the size up to which a body is read before the request waits
-// for a slot.
-const heldBytes = 64 << 10
+// maxBufferedBytes is the maximum size of a body that is buffered before the
+// request waits for a slot.
+const maxBufferedBytes = 64 << 10
 
-// body is the caller's body. It knows whether it has been read to its end.
+// body is the body of a caller's request. It records whether it has been read
+// to its end.
 type body struct {
 	reader io.Reader
 	writer http.ResponseWriter
@@ -35,20 +36,21 @@
 	return n, err
 }
 
-// take makes the body that of r. A small one is held in memory: net/http notices
-// that a caller has left only after the body has been read, and would keep the
-// request of a gone caller in the queue; and a held body can be sent again after
-// proof that the request did not run.
-func (b *body) take(r *request.Request) outcome.Outcome {
+// attach sets the body of r, and buffers it in memory if it is small. net/http
+// notices that a caller has disconnected only after the body has been read, so
+// the request of a disconnected caller would otherwise stay in the queue. A
+// buffered body can also be sent again after proof that the request did not
+// run.
+func (b *body) attach(r *request.Request) outcome.Outcome {
 	if b.empty {
 		return outcome.Outcome{}
 	}
 	r.Body = b
-	if r.Length < 0 || r.Length > heldBytes {
+	if r.Length < 0 || r.Length > maxBufferedBytes {
 		return outcome.Outcome{}
 	}
 	c := http.NewResponseController(b.writer)
-	_ = c.SetReadDeadline(r.Deadline) // not every writer has deadlines, and those need none
+	_ = c.SetReadDeadline(r.Deadline) // writers without deadlines need none
 	p, err := io.ReadAll(b)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return refuse(outcome.DeadlineExceeded, "the body did not arrive in time")
@@ -62,16 +64,16 @@
 	return outcome.Outcome{}
 }
 
-// leave gives up the rest of the body. net/http's server otherwise reads up to
-// 256 KB of it before it sends an answer, and a caller that sends slowly would
-// get its refusal as late as it likes. A deadline in the past also ends a read
-// of the transport that still waits for the caller.
-func (b *body) leave() {
+// abandon discards the unread rest of the body. Otherwise the net/http server
+// reads up to 256 KB of it before it sends a response, so a slow caller would
+// delay its own refusal without limit. A deadline in the past also ends a read
+// of the body in which the transport still waits for the caller.
+func (b *body) abandon() {
 	if b.empty || b.ended.Load() {
 		return
 	}
 	c := http.NewResponseController(b.writer)
-	_ = c.EnableFullDuplex()               // not every writer has it, and those need none
+	_ = c.EnableFullDuplex()               // writers without full duplex need none
 	_ = c.SetReadDeadline(time.Unix(1, 0)) // as above
 	b.writer.Header().Set("Connection", "close")
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry serves callers: it identifies a request, admits it against its
-// account's limits and hands it to a failure domain that can run it.
+// Package entry serves the requests of callers: it identifies a request, admits
+// it within its account's limits and passes it to a failure domain that can run
+// it.
 package entry
 
 import (
@@ -25,40 +26,41 @@
 
 // Header fields that callers may set.
 const (
-	// IdempotencyHeader is the caller's id of a non-idempotent request.
+	// IdempotencyHeader is the caller's ID of a non-idempotent request.
 	IdempotencyHeader = "Idempotency-Key"
-	// TimeoutHeader is how long the caller waits, "2s" for example.
+	// TimeoutHeader is how long the caller waits for a response, for example
+	// "2s".
 	TimeoutHeader = "Request-Timeout"
 )
 
-// maxID is the greatest length of a caller's id.
-const maxID = 255
+// maxIDLength is the maximum length of a caller's idempotency ID.
+const maxIDLength = 255
 
-// Entry is the handler of all caller requests but look-ups.
+// Entry is the handler of all caller requests except lookups.
 type Entry struct {
 	// Clock measures deadlines.
 	Clock clockwork.Clock
 	// Log receives one line for each request that was not answered.
 	Log *log.Logger
-	// Snapshot returns the configuration in force, nil before the first.
+	// Snapshot returns the configuration in force, nil before the first one.
 	Snapshot func() *snapshot.Snapshot
 	// Admission identifies keys.
 	Admission *admission.Admission
-	// Quota admits against rate and burst.
+	// Quota admits requests within the rate and burst of their account.
 	Quota *quota.Quota
-	// Once runs requests with an id at most once, by calling run.
+	// Once runs a request with an ID at most once, by calling run.
 	Once func(ctx context.Context, r *request.Request, w http.ResponseWriter, run func(context.Context, *request.Request, http.ResponseWriter) outcome.Outcome) outcome.Outcome
-	// Leaving reports whether the host is shutting down, and Closed whether
-	// it takes no new requests any more.
+	// Leaving reports whether the host is shutting down, and Closed whether it
+	// refuses new requests.
 	Leaving, Closed func() bool
 	// Local runs a request in the host's own failure domain.
 	Local func(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome
 	// Forward runs a request in another failure domain. It returns NoCapacity
-	// when no other domain takes it.
+	// if no other domain accepts the request.
 	Forward func(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome
 	// EntryHosts returns caller addresses that a refused caller may try.
 	EntryHosts func(account, service string) []string
-	// Done is told how each request ended.
+	// Done is called with the outcome and duration of each request.
 	Done func(r *request.Request, o outcome.Outcome, d time.Duration)
 }
 
@@ -74,7 +76,7 @@
 		o = refuse(outcome.Leaving, "the host is shutting down")
 	}
 	if o.Outcome == "" {
-		o = e.guard(h.Context(), r, w)
+		o = e.serveAndRecover(h.Context(), r, w)
 	}
 	e.Done(r, o, e.Clock.Since(t))
 	if o.Outcome == outcome.Answered {
@@ -83,20 +85,21 @@
 	e.Log.Info("request refused", "ID", r.ID, "Account", r.Credential.Account, "Service", r.Service.Name,
 		"Outcome", o.Outcome, "Ran", o.Ran, "Message", o.Message)
 	if o.Outcome == outcome.Left || o.Outcome == outcome.Broken {
-		// The connection is gone or half closed, or the answer is not whole;
-		// breaking it makes sure that nobody takes it for a whole one.
+		// The connection is closed or half closed, or the response is
+		// incomplete. Aborting the connection ensures that the caller does not
+		// treat a partial response as complete.
 		panic(http.ErrAbortHandler)
 	}
 	if o.Ran == outcome.RanNo {
 		o.EntryHosts = e.EntryHosts(r.Credential.Account, r.Service.Name)
 	}
-	b.leave()
+	b.abandon()
 	refusal.Write(w, o)
 }
 
-// guard turns an answer that broke off into an outcome, so that it is counted
-// like every other.
-func (e *Entry) guard(ctx context.Context, r *request.Request, w http.ResponseWriter) (o outcome.Outcome) {
+// serveAndRecover runs a request and converts the panic of an aborted response
+// to an outcome, so that aborted responses are counted like all others.
+func (e *Entry) serveAndRecover(ctx context.Context, r *request.Request, w http.ResponseWriter) (o outcome.Outcome) {
 	defer func() {
 		p := recover()
 		if p == nil {
@@ -110,7 +113,7 @@
 			o = outcome.Outcome{Outcome: outcome.Left, Ran: outcome.RanUnknown, Message: "the caller left"}
 		}
 	}()
-	return e.serve(ctx, r, w)
+	return e.admitAndServe(ctx, r, w)
 }
 
 func (e *Entry) identify(h *http.Request, b *body) (*request.Request, outcome.Outcome) {
@@ -128,26 +131,26 @@
 		return r, refuse(outcome.NoRoute, "no service has this path")
 	}
 	r.Service = v
-	d, o := timeout(h, v.Timeout)
+	d, o := requestTimeout(h, v.Timeout)
 	if o.Outcome != "" {
 		return r, o
 	}
-	if f := idFault(h); f != "" {
+	if f := idempotencyIDFault(h); f != "" {
 		return r, refuse(outcome.BadRequest, f)
 	}
 	r.Deadline = e.Clock.Now().Add(d)
-	r.Header = header(h)
+	r.Header = backendHeader(h)
 	r.Touched = new(atomic.Bool)
 	r.Length = h.ContentLength
 	r.NonIdempotent = v.NonIdempotent || h.Method == http.MethodPost || h.Method == http.MethodPatch
 	r.IdempotencyID = h.Header.Get(IdempotencyHeader)
 	if !e.Admission.Trusts(r.NonIdempotent) {
-		return r, refuse(outcome.KeyStale, "this failure domain is cut off and cannot know whether the key was withdrawn")
+		return r, refuse(outcome.KeyStale, "this failure domain is disconnected and cannot verify whether the key was withdrawn")
 	}
-	return r, b.take(r)
+	return r, b.attach(r)
 }
 
-func (e *Entry) serve(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
+func (e *Entry) admitAndServe(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
 	m := min(e.Snapshot().Preset.MaxWait, r.Deadline.Sub(e.Clock.Now()))
 	t, d, ok := e.Quota.Admit(ctx, r.Credential.Account, m)
 	if !ok && ctx.Err() != nil {
@@ -159,24 +162,25 @@
 		}
 	}
 	r.Admitted = t
-	o := e.once(ctx, r, w)
+	o := e.serveOnce(ctx, r, w)
 	if o.Ran == outcome.RanNo {
 		e.Quota.Return(r.Credential.Account)
 	}
 	return o
 }
 
-func (e *Entry) once(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
+func (e *Entry) serveOnce(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
 	if r.NonIdempotent && r.IdempotencyID != "" {
-		return e.Once(ctx, r, w, e.place)
+		return e.Once(ctx, r, w, e.serveLocallyOrForward)
 	}
-	return e.place(ctx, r, w)
+	return e.serveLocallyOrForward(ctx, r, w)
 }
 
-// place tries the own failure domain, and another one if that refused.
-func (e *Entry) place(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
+// serveLocallyOrForward tries the local failure domain, and another one if the
+// local one refuses the request.
+func (e *Entry) serveLocallyOrForward(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
 	o := e.Local(ctx, r, w)
-	if o.Outcome != outcome.NoCapacity || o.Ran != outcome.RanNo || !again(r) {
+	if o.Outcome != outcome.NoCapacity || o.Ran != outcome.RanNo || !rewindBody(r) {
 		return o
 	}
 	if !r.Gate.Send() {
@@ -190,14 +194,15 @@
 		r.Gate.Return()
 	}
 	if o.Outcome == outcome.NoCapacity && l > 0 && (l < o.RetryAfter || o.RetryAfter == 0) {
-		// The own domain will have room before the others do.
+		// The local domain will have a free slot before the others do.
 		o.RetryAfter = l
 	}
 	return o
 }
 
-// again reports whether the body can still be sent whole.
-func again(r *request.Request) bool {
+// rewindBody reports whether the complete body can still be sent, and resets it
+// to its start if it is buffered.
+func rewindBody(r *request.Request) bool {
 	if r.Rewind != nil {
 		r.Body = r.Rewind()
 		return true
@@ -205,12 +210,13 @@
 	return r.Body == nil || !r.Touched.Load()
 }
 
-// header returns what backend servers may see of the caller's header.
-func header(h *http.Request) http.Header {
+// backendHeader returns the fields of the caller's header that may be sent to
+// backend servers.
+func backendHeader(h *http.Request) http.Header {
 	r := h.Header.Clone()
 	admission.Strip(r)
 	hop.Strip(r)
-	// Both are settled between the caller and this host.
+	// Both fields concern only the connection between the caller and this host.
 	r.Del("Expect")
 	r.Del("Content-Length")
 	if h.ContentLength >= 0 {
@@ -219,8 +225,9 @@
 	return r
 }
 
-// idFault returns what is wrong with the caller's id, empty if nothing is.
-func idFault(h *http.Request) string {
+// idempotencyIDFault describes what is wrong with the caller's idempotency ID.
+// It returns an empty string if the ID is valid or missing.
+func idempotencyIDFault(h *http.Request) string {
 	v := h.Header[IdempotencyHeader]
 	if len(v) > 1 {
 		return IdempotencyHeader + " is given twice"
@@ -228,25 +235,25 @@
 	if len(v) == 0 {
 		return ""
 	}
-	if v[0] == "" || len(v[0]) > maxID {
-		return IdempotencyHeader + " has no or too many characters"
+	if v[0] == "" || len(v[0]) > maxIDLength {
+		return IdempotencyHeader + " is empty or too long"
 	}
 	for _, c := range []byte(v[0]) {
 		if c <= ' ' || c > '~' {
-			return IdempotencyHeader + " may hold printable ASCII without spaces only"
+			return IdempotencyHeader + " may contain only printable ASCII without spaces"
 		}
 	}
 	return ""
 }
 
-func timeout(h *http.Request, d time.Duration) (time.Duration, outcome.Outcome) {
+func requestTimeout(h *http.Request, d time.Duration) (time.Duration, outcome.Outcome) {
 	v := h.Header[TimeoutHeader]
 	if len(v) == 0 {
 		return d, outcome.Outcome{}
 	}
 	t, err := time.ParseDuration(v[0])
 	if err != nil || t <= 0 || len(v) > 1 {
-		return 0, refuse(outcome.BadRequest, TimeoutHeader+" is no duration, such as \"2s\"")
+		return 0, refuse(outcome.BadRequest, TimeoutHeader+" is not a duration, such as \"2s\"")
 	}
 	return min(t, d), outcome.Outcome{}
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -48,28 +48,28 @@
 	"celeryreach.example/celeryreach/whole"
 )
 
-// site is one entry host with backend servers on loopback. Slots are handed
-// out in turn.
-type site struct {
-	clock    clockwork.Clock
-	address  string
-	servers  []backend.Backend
-	handlers map[string]*backendstandin.Backendstandin
-	patience time.Duration
-	store    table.Table
-	stop     []func()
-	closed   atomic.Bool
-	done     chan string
-	queue    *queue.Queue
-	tickets  *ticket.Ticket
-	group    *group.Group
-	out      atomic.Bool
+// testHost is one host with backend servers on loopback addresses. Slots are
+// assigned round-robin.
+type testHost struct {
+	clock     clockwork.Clock
+	address   string
+	servers   []backend.Backend
+	handlers  map[string]*backendstandin.Backendstandin
+	maxWait   time.Duration
+	store     table.Table
+	stop      []func()
+	closed    atomic.Bool
+	done      chan string
+	queue     *queue.Queue
+	tickets   *ticket.Ticket
+	group     *group.Group
+	storeDown atomic.Bool
 
 	mu   sync.Mutex
 	turn int
 }
 
-func (s *site) acquire() (slot.Slot, bool) {
+func (s *testHost) acquire() (slot.Slot, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.servers) == 0 {
@@ -79,12 +79,12 @@
 	return slot.Slot{Backend: s.servers[s.turn%len(s.servers)], Release: func(result.Result) {}, Answered: func(int, http.Header) {}}, true
 }
 
-func (s *site) snapshot() *snapshot.Snapshot {
+func (s *testHost) snapshot() *snapshot.Snapshot {
 	c := &config.Config{
-		Preset: "Ordinary", Presets: []preset.Preset{{Name: "Ordinary", MaxWait: s.patience, RetryBudget: 0.1}},
+		Preset: "Ordinary", Presets: []preset.Preset{{Name: "Ordinary", MaxWait: s.maxWait, RetryBudget: 0.1}},
 		Services: []service.Service{
-			{Name: "All", Prefix: "/", Timeout: 10 * s.patience},
-			{Name: "Large", Prefix: "/large/", Timeout: time.Minute}, // a busy machine may take seconds for an answer
+			{Name: "All", Prefix: "/", Timeout: 10 * s.maxWait},
+			{Name: "Large", Prefix: "/large/", Timeout: time.Minute}, // an answer may take seconds on a loaded machine
 		},
 		Accounts: []account.Account{{Name: "camp", Rate: 100_000, Burst: 100_000}, {Name: "studio", Rate: 1000, Burst: 1000}},
 		Keys: []credential.Credential{
@@ -95,13 +95,13 @@
 	return snapshot.New(c, "")
 }
 
-func (s *site) entry() *entry.Entry {
+func (s *testHost) entry() *entry.Entry {
 	v := s.snapshot()
 	n := func() *snapshot.Snapshot { return v }
 	a := &admission.Admission{Snapshot: n}
 	p := store.Store{
-		Read:   platformRead(&s.store, &s.out),
-		Commit: platformCommit(&s.store, &s.out),
+		Read:   platformRead(&s.store, &s.storeDown),
+		Commit: platformCommit(&s.store, &s.storeDown),
 	}
 	s.group = &group.Group{Clock: s.clock, Commit: p.Commit, Limit: 64, Timeout: time.Second}
 	i := &idempotency.Idempotency{
@@ -138,7 +138,7 @@
 	}
 }
 
-func (s *site) serve(h http.Handler) (string, error) {
+func (s *testHost) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -147,39 +147,39 @@
 	return l.Addr().String(), nil
 }
 
-// run runs a part until the script ends.
-func (s *site) run(f func(context.Context) error) {
+// run runs a component until the script ends.
+func (s *testHost) run(f func(context.Context) error) {
 	x, c := context.WithCancel(context.Background())
 	d := make(chan error, 1)
 	go func() { d <- f(x) }()
 	s.stop = append(s.stop, func() {
 		c()
-		<-d //nolint:errcheck // the part has ended, which is all that counts
+		<-d //nolint:errcheck // only the end of the component matters
 	})
 }
 
-// TestScripts runs testdata. The commands are:
+// TestScripts runs the scripts in testdata. Their commands are:
 //
-//	backend NAME KNOBS       starts a backend server, or sets its faults
+//	backend NAME KNOBS       starts a backend server, or sets the faults of a running one
 //	send METHOD PATH [HEADER]... [=BODY]
-//	                         prints the status with outcome and Ran, or with the answer
-//	leave METHOD PATH ...    sends, and leaves once a backend server runs it
-//	stall PATH               asks for PATH and reads nothing of the answer
-//	half PATH                asks for PATH and closes the sending side
-//	ended OUTCOME            waits for the next request to end, and compares
-//	raw FILE                 sends the file's bytes and prints what comes back
-//	runs ID COUNT            compares how often an id was run
-//	seen TEXT                succeeds if a backend server saw the text
-//	store out|up             lets every call to the store fail, or not
-//	commits COUNT            compares the number of commits
-//	ticket NAME ACCOUNT      puts a new ticket into the variable NAME
-//	enrol COUNT own|ticket   sends enrolments and prints how many were answered
-//	shutdown                 lets the host refuse new requests
+//	                         prints the status, and the outcome and Ran or the answer
+//	leave METHOD PATH ...    sends a request and disconnects once a backend server runs it
+//	stall PATH               requests PATH and does not read the answer
+//	half PATH                requests PATH and closes the sending side of the connection
+//	ended OUTCOME            waits until a request ends with OUTCOME
+//	raw FILE                 sends the content of FILE and prints the response
+//	runs ID COUNT            checks how many times the request with ID was run
+//	seen TEXT                checks that a backend server received TEXT
+//	store out|up             makes every call to the store fail, or succeed again
+//	commits COUNT            checks the number of commits
+//	ticket NAME ACCOUNT      sets the variable NAME to a new ticket
+//	enrol COUNT own|ticket   sends COUNT enrolments and prints how many were answered
+//	shutdown                 makes the host refuse new requests
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(e *testscript.Env) error {
-			s := &site{clock: clockwork.NewRealClock(), patience: 100 * time.Millisecond, handlers: make(map[string]*backendstandin.Backendstandin), done: make(chan string, 100)}
+			s := &testHost{clock: clockwork.NewRealClock(), maxWait: 100 * time.Millisecond, handlers: make(map[string]*backendstandin.Backendstandin), done: make(chan string, 100)}
 			e.Values["site"] = s
 			e.Defer(func() {
 				for i := len(s.stop) - 1; i >= 0; i-- {
@@ -192,14 +192,14 @@
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
 			"backend": backendCommand, "send": send, "leave": leave, "stall": stall, "half": half, "ended": ended, "raw": raw, "runs": runs, "seen": seen,
-			"store": storeKnob, "commits": commits, "ticket": mint, "enrol": enrol,
-			"shutdown": func(t *testscript.TestScript, _ bool, _ []string) { t.Value("site").(*site).closed.Store(true) },
+			"store": setStore, "commits": commits, "ticket": mintTicket, "enrol": enrol,
+			"shutdown": func(t *testscript.TestScript, _ bool, _ []string) { t.Value("site").(*testHost).closed.Store(true) },
 		},
 	})
 }
 
 func backendCommand(t *testscript.TestScript, _ bool, a []string) {
-	s := t.Value("site").(*site)
+	s := t.Value("site").(*testHost)
 	var k backendknobs.Backendknobs
 	t.Check(codec.Unmarshal([]byte(a[1]), &k))
 	if h := s.handlers[a[0]]; h != nil {
@@ -216,7 +216,7 @@
 	s.servers = append(s.servers, backend.Backend{Name: a[0], Address: b})
 }
 
-func (s *site) request(ctx context.Context, a []string) (*http.Request, error) {
+func (s *testHost) request(ctx context.Context, a []string) (*http.Request, error) {
 	var b io.Reader
 	if v, ok := strings.CutPrefix(a[len(a)-1], "="); ok {
 		b = strings.NewReader(v)
@@ -234,7 +234,7 @@
 }
 
 func send(t *testscript.TestScript, _ bool, a []string) {
-	s := t.Value("site").(*site)
+	s := t.Value("site").(*testHost)
 	q, err := s.request(context.Background(), a)
 	t.Check(err)
 	p, err := http.DefaultClient.Do(q)
@@ -258,7 +258,7 @@
 }
 
 func leave(t *testscript.TestScript, _ bool, a []string) {
-	s := t.Value("site").(*site)
+	s := t.Value("site").(*testHost)
 	x, f := context.WithCancel(context.Background())
 	q, err := s.request(x, a)
 	t.Check(err)
@@ -277,7 +277,7 @@
 	<-d
 }
 
-func (s *site) total() int {
+func (s *testHost) total() int {
 	n := 0
 	for _, h := range s.handlers {
 		for _, v := range h.Runs() {
@@ -288,7 +288,7 @@
 }
 
 func ended(t *testscript.TestScript, _ bool, a []string) {
-	for o := range t.Value("site").(*site).done {
+	for o := range t.Value("site").(*testHost).done {
 		if o == a[0] {
 			return
 		}
@@ -297,19 +297,19 @@
 }
 
 func raw(t *testscript.TestScript, _ bool, a []string) {
-	s := t.Value("site").(*site)
+	s := t.Value("site").(*testHost)
 	c, err := net.Dial("tcp", s.address)
 	t.Check(err)
 	defer c.Close()
 	_, err = io.WriteString(c, strings.ReplaceAll(t.ReadFile(a[0]), "\n", "\r\n"))
 	t.Check(err)
-	b, _ := io.ReadAll(c) // a reset after the answer is one way to close
+	b, _ := io.ReadAll(c) // the connection may be reset after the answer
 	_, _ = t.Stdout().Write(append(b, '\n'))
 }
 
 func runs(t *testscript.TestScript, _ bool, a []string) {
 	n := 0
-	for _, h := range t.Value("site").(*site).handlers {
+	for _, h := range t.Value("site").(*testHost).handlers {
 		n += h.Runs()[a[0]]
 	}
 	if got := string(rune('0' + n)); got != a[1] {
@@ -319,7 +319,7 @@
 
 func seen(t *testscript.TestScript, neg bool, a []string) {
 	f := false
-	for _, h := range t.Value("site").(*site).handlers {
+	for _, h := range t.Value("site").(*testHost).handlers {
 		f = f || strings.Contains(strings.Join(h.Seen(), "\n"), a[0])
 	}
 	if f == neg {
@@ -346,7 +346,7 @@
 }
 
 func ask(t *testscript.TestScript, path string) net.Conn {
-	s := t.Value("site").(*site)
+	s := t.Value("site").(*testHost)
 	c, err := net.Dial("tcp", s.address)
 	t.Check(err)
 	t.Defer(func() { c.Close() })
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -19,12 +19,12 @@
 
 const fuzzKey = "camp-key-1"
 
-// FuzzRequest sends whatever net/http takes for a request. What leaves the host
-// holds the key nowhere in target or header, and no field of the connection; and
-// a request that was refused has not left.
+// FuzzRequest sends arbitrary requests that net/http accepts. A request that is
+// passed on must not contain the key in its target or header, nor any
+// hop-by-hop field, and a refused request must not be passed on.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("GET /listings/1?a=b HTTP/1.1\r\nHost: x\r\nX-Api-Key: camp-key-1\r\nConnection: X-Hop\r\nX-Hop: 1\r\n\r\n"))
-	s := &site{clock: clockwork.NewRealClock(), patience: time.Second, done: make(chan string, 1)}
+	s := &testHost{clock: clockwork.NewRealClock(), maxWait: time.Second, done: make(chan string, 1)}
 	e := s.entry()
 	f.Cleanup(func() {
 		for _, p := range s.stop {
--- a/entry/platform_test.go
+++ b/entry/platform_test.go
@@ -14,12 +14,12 @@
 	"celeryreach.example/celeryreach/table"
 )
 
-var errOut = errors.New("the store is out")
+var errStoreDown = errors.New("the store is out")
 
 func platformRead(t *table.Table, out *atomic.Bool) func(context.Context, string) (row.Row, error) {
 	return func(_ context.Context, k string) (row.Row, error) {
 		if out.Load() {
-			return row.Row{}, errOut
+			return row.Row{}, errStoreDown
 		}
 		return t.Read(k), nil
 	}
@@ -28,30 +28,30 @@
 func platformCommit(t *table.Table, out *atomic.Bool) func(context.Context, commit.Commit) (bool, error) {
 	return func(_ context.Context, c commit.Commit) (bool, error) {
 		if out.Load() {
-			return false, errOut
+			return false, errStoreDown
 		}
 		return t.Commit(c), nil
 	}
 }
 
-func storeKnob(t *testscript.TestScript, _ bool, a []string) {
-	t.Value("site").(*site).out.Store(a[0] == "out")
+func setStore(t *testscript.TestScript, _ bool, a []string) {
+	t.Value("site").(*testHost).storeDown.Store(a[0] == "out")
 }
 
 func commits(t *testscript.TestScript, _ bool, a []string) {
-	s := t.Value("site").(*site)
+	s := t.Value("site").(*testHost)
 	_, n := s.store.Operations()
 	if fmt.Sprint(n) != a[0] {
 		t.Fatalf("%d commits, not %s", n, a[0])
 	}
 }
 
-func mint(t *testscript.TestScript, _ bool, a []string) {
-	t.Setenv(a[0], t.Value("site").(*site).tickets.Mint(a[1], 1)[0])
+func mintTicket(t *testscript.TestScript, _ bool, a []string) {
+	t.Setenv(a[0], t.Value("site").(*testHost).tickets.Mint(a[1], 1)[0])
 }
 
 func enrol(t *testscript.TestScript, _ bool, a []string) {
-	s := t.Value("site").(*site)
+	s := t.Value("site").(*testHost)
 	var n, ok int
 	_, err := fmt.Sscan(a[0], &n)
 	t.Check(err)
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -16,49 +16,53 @@
 )
 
 const (
-	// pulseEvery and maxSilence are the times of package pulse.
-	pulseEvery = time.Second
-	maxSilence = 3 * time.Second
-	// firstPulse is for reused connections, where nothing is lost by a false
-	// alarm. The first message comes as soon as the request is there, so this
-	// is more than four round trips of 110 ms.
-	firstPulse = 500 * time.Millisecond
-	// endWait bounds the end of a stream whose answer is complete.
-	endWait = 100 * time.Millisecond
-	// heldBytes is how much of an answer is held back until it is complete: up
-	// to here a break costs a typed error, later the caller's connection.
-	heldBytes = 64 << 10
+	// keepaliveInterval and maxSilence configure the pulse of a stream.
+	keepaliveInterval = time.Second
+	maxSilence        = 3 * time.Second
+	// maxSilenceOnReuse is the longest wait for the first message on a reused
+	// connection, where a false alarm costs nothing. The other end sends its
+	// first message as soon as it has received the request, so this is more
+	// than four round trips of 110 ms.
+	maxSilenceOnReuse = 500 * time.Millisecond
+	// streamEndTimeout bounds the shutdown of a stream whose answer is
+	// complete.
+	streamEndTimeout = 100 * time.Millisecond
+	// maxHeldAnswerBytes is how much of an answer is held back until it is
+	// complete. If the stream breaks within it, the caller receives a typed
+	// error; after it, only the caller's connection can be aborted.
+	maxHeldAnswerBytes = 64 << 10
 )
 
-var errNoHead = errors.New("the answer has no head")
+var errNoAnswerHead = errors.New("the answer ended without a head")
 
-// attempt is one stream to one host.
+// attempt is one stream to one host that sends a request.
 type attempt struct {
-	forward *Forward
-	request *request.Request
-	body    *body
-	count   *count
+	forward  *Forward
+	request  *request.Request
+	body     *body
+	transfer *transfer
 
-	stream wire.DRPCPeer_ForwardClient
-	pulse  *pulse.Pulse
-	reused bool
-	heard  bool
-	silent atomic.Bool
-	broken atomic.Bool
-	cancel context.CancelFunc
-	head   *wire.Answer
-	held   []byte
-	begun  bool
+	stream     wire.DRPCPeer_ForwardClient
+	pulse      *pulse.Pulse
+	reused     bool
+	gotFrame   bool
+	silent     atomic.Bool
+	bodyFailed atomic.Bool
+	cancel     context.CancelFunc
+	head       *wire.Answer
+	held       []byte
+	headSent   bool
 }
 
-// count counts the bytes sent, and passes the answer on.
-type count struct {
+// transfer counts the bytes sent, and writes the answer to the caller.
+type transfer struct {
 	writer http.ResponseWriter
 	sent   atomic.Int64
 }
 
-// run returns how the stream ended. A caller that leaves ends ctx, and with it
-// the stream and the request at the other end.
+// run sends the request on a stream and returns the outcome. If the caller
+// disconnects, ctx ends, which ends the stream and with it the request at the
+// other end.
 func (a *attempt) run(ctx context.Context, address string, fresh bool) outcome.Outcome {
 	x, c := context.WithCancel(ctx)
 	defer c()
@@ -66,7 +70,7 @@
 	s, r, d, err := a.forward.Open(x, address, fresh)
 	a.reused = r
 	if err != nil {
-		// Only the name of the call can have left.
+		// At most the name of the RPC has been sent.
 		return refuse("the other failure domain cannot be reached", time.Second)
 	}
 	a.stream = s
@@ -75,18 +79,18 @@
 	e := a.watch(x)
 	defer func() { e(l) }()
 	if err := a.send(); err != nil {
-		return a.lost(ctx, err)
+		return a.endLost(ctx, err)
 	}
-	o := a.receive(ctx)
+	o := a.receiveAnswer(ctx)
 	l = o.Outcome == outcome.Answered || o.Ran == outcome.RanNo && o.Outcome != outcome.Left
 	return o
 }
 
-// watch ends the stream when the other end falls silent.
+// watch cancels the stream if the other end is silent for too long.
 func (a *attempt) watch(ctx context.Context) (end func(clean bool)) {
 	f := a.forward
 	a.pulse = &pulse.Pulse{
-		Clock: f.Clock, Every: pulseEvery, First: maxSilence, Silence: maxSilence,
+		Clock: f.Clock, Every: keepaliveInterval, First: maxSilence, Silence: maxSilence,
 		Send: func() error { return a.stream.Send(&wire.Frame{Part: &wire.Frame_Alive{Alive: true}}) },
 		Lost: func() {
 			a.silent.Store(true)
@@ -94,7 +98,7 @@
 		},
 	}
 	if a.reused {
-		a.pulse.First = firstPulse
+		a.pulse.First = maxSilenceOnReuse
 	}
 	x, s := context.WithCancel(ctx)
 	d := make(chan struct{})
@@ -104,43 +108,43 @@
 			a.cancel()
 		}
 		s()
-		// A message on its way to a silent host would hold this up.
-		t := f.Clock.AfterFunc(endWait, a.cancel)
+		// A blocked send to a silent host would delay this.
+		t := f.Clock.AfterFunc(streamEndTimeout, a.cancel)
 		<-d
 		t.Stop()
 	}
 }
 
-// send sends the head, and the body if it is short. A long body follows when
-// the other end asks for it.
+// send sends the head of the request, and the body if it is short. A long body
+// is sent when the other end requests it.
 func (a *attempt) send() error {
 	r := a.request
 	h := &wire.Request{
 		Id: r.ID, Account: r.Credential.Account, Service: r.Service.Name, Method: r.Method, Target: r.Target,
 		Headers: headers(r.Header), TimeoutNanoseconds: int64(r.Deadline.Sub(a.forward.Clock.Now())),
 		IdempotencyId: r.IdempotencyID, ConfigVersion: a.forward.Version(), KeyId: r.Credential.Hash,
-		FromRegion: a.forward.Region, HasBody: r.Body != nil, Length: a.body.known(r),
+		FromRegion: a.forward.Region, HasBody: r.Body != nil, Length: a.body.knownLength(r),
 	}
 	if err := a.stream.Send(&wire.Frame{Part: &wire.Frame_Request{Request: h}}); err != nil {
 		return err
 	}
-	a.count.sent.Store(a.body.size(r) - a.body.length)
-	if a.body.rest != nil {
+	a.transfer.sent.Store(a.body.linkBytes(r) - a.body.length)
+	if a.body.unread != nil {
 		return nil
 	}
-	return a.pieces()
+	return a.sendBody()
 }
 
-func (a *attempt) pieces() error {
+func (a *attempt) sendBody() error {
 	r := a.body.reader()
-	b := make([]byte, min(pieceBytes, max(1, a.body.length)))
+	b := make([]byte, min(bodyChunkBytes, max(1, a.body.length)))
 	for {
 		n, err := r.Read(b)
 		if n > 0 {
 			if err := a.stream.Send(&wire.Frame{Part: &wire.Frame_Body{Body: b[:n]}}); err != nil {
 				return err
 			}
-			a.count.sent.Add(int64(n))
+			a.transfer.sent.Add(int64(n))
 		}
 		if err == io.EOF {
 			return a.stream.Send(&wire.Frame{Part: &wire.Frame_End{End: true}})
@@ -151,26 +155,26 @@
 	}
 }
 
-// receive takes the frames of the answer.
-func (a *attempt) receive(ctx context.Context) outcome.Outcome {
+// receiveAnswer processes the frames of the answer.
+func (a *attempt) receiveAnswer(ctx context.Context) outcome.Outcome {
 	w := false
 	for {
 		a.pulse.Wait()
 		m, err := a.stream.Recv()
 		if err != nil {
-			return a.lost(ctx, err)
+			return a.endLost(ctx, err)
 		}
 		a.pulse.Got()
-		a.heard = true
+		a.gotFrame = true
 		switch v := m.Part.(type) {
 		case *wire.Frame_BodyWanted:
-			if w || a.body.rest == nil {
+			if w || a.body.unread == nil {
 				continue
 			}
 			w = true
-			go a.long()
+			go a.sendLongBody()
 		case *wire.Frame_Refusal:
-			return a.refused(v.Refusal)
+			return a.endRefused(v.Refusal)
 		case *wire.Frame_Answer:
 			if a.head == nil {
 				a.head = v.Answer
@@ -181,7 +185,7 @@
 			}
 		case *wire.Frame_End:
 			if a.head == nil {
-				return a.lost(ctx, errNoHead)
+				return a.endLost(ctx, errNoAnswerHead)
 			}
 			a.flush()
 			return outcome.Outcome{Outcome: outcome.Answered, Ran: outcome.RanYes}
@@ -189,62 +193,66 @@
 	}
 }
 
-// long sends a long body. Nobody waits for its end, since a caller that sends
-// slowly must not hold up an answer that comes before its body is read; it ends
-// with the stream, or with the caller's body, which the server closes.
-func (a *attempt) long() {
-	if err := a.pieces(); err != nil {
-		a.broken.Store(true)
+// sendLongBody sends a long body. No goroutine waits for it, because a caller
+// that sends slowly must not delay an answer that arrives before its body is
+// read. It returns when the stream ends or when the server closes the caller's
+// body.
+func (a *attempt) sendLongBody() {
+	if err := a.sendBody(); err != nil {
+		a.bodyFailed.Store(true)
 		a.cancel()
 	}
 }
 
-// refused ends a request by the other end's word. After a part of the answer
-// went out, only a broken connection tells the caller that the rest is missing.
-func (a *attempt) refused(v *wire.Refusal) outcome.Outcome {
-	if a.begun {
+// endRefused returns the outcome that the other end reported. If part of the
+// answer has been sent to the caller, it aborts the caller's connection
+// instead, because nothing else shows the caller that the rest is missing.
+func (a *attempt) endRefused(v *wire.Refusal) outcome.Outcome {
+	if a.headSent {
 		panic(http.ErrAbortHandler)
 	}
 	return outcome.Outcome{Outcome: v.Outcome, Ran: v.Ran, Message: v.Message, RetryAfter: time.Duration(v.RetryAfterNanoseconds)}
 }
 
-// write holds the start of the answer back and passes on the rest.
+// write holds back the start of the answer and passes on the rest.
 func (a *attempt) write(b []byte) bool {
-	if !a.begun && len(a.held)+len(b) <= heldBytes {
+	if !a.headSent && len(a.held)+len(b) <= maxHeldAnswerBytes {
 		a.held = append(a.held, b...)
 		return true
 	}
 	a.flush()
-	_, err := a.count.writer.Write(b)
+	_, err := a.transfer.writer.Write(b)
 	return err == nil
 }
 
 func (a *attempt) flush() {
-	if a.begun || a.head == nil {
+	if a.headSent || a.head == nil {
 		return
 	}
-	a.begun = true
-	h := a.count.writer.Header()
+	a.headSent = true
+	h := a.transfer.writer.Header()
 	for _, v := range a.head.Headers {
 		h[v.Name] = v.Values
 	}
 	hop.Strip(h)
-	a.count.writer.WriteHeader(int(a.head.Status))
+	a.transfer.writer.WriteHeader(int(a.head.Status))
 	if len(a.held) > 0 {
-		// A failed write means that the caller left; the next one tells.
-		_, _ = a.count.writer.Write(a.held)
+		// A write fails if the caller has disconnected; the next write returns
+		// the error.
+		_, _ = a.transfer.writer.Write(a.held)
 	}
 	a.held = nil
 }
 
-// lost is the outcome of a stream that broke after the request was sent.
-func (a *attempt) lost(ctx context.Context, err error) outcome.Outcome {
-	if a.begun {
+// endLost returns the outcome of a stream that failed after the request was
+// sent.
+func (a *attempt) endLost(ctx context.Context, err error) outcome.Outcome {
+	if a.headSent {
 		panic(http.ErrAbortHandler)
 	}
 	o := outcome.Outcome{Outcome: outcome.BackendFailed, Ran: outcome.RanUnknown, Message: err.Error()}
 	switch {
-	case a.broken.Load():
+	case a.bodyFailed.Load():
 		o.Outcome = outcome.Left
 		o.Message = "the caller's body broke off"
 		return o
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -1,5 +1,6 @@
-// Package forward passes requests that the own failure domain cannot take to a
-// host of another one, which admits them or refuses them unrun.
+// Package forward sends requests that the local failure domain cannot run to a
+// host of another one, which either admits a request or refuses it without
+// running it.
 package forward
 
 import (
@@ -20,17 +21,18 @@
 )
 
 const (
-	pieceBytes = 32 << 10
-	// bodyBytes is the longest body that is kept for a second target. A
-	// longer one is read when a target has admitted the request.
-	bodyBytes = 64 << 10
-	// maxTargets bounds the tries of one request.
+	bodyChunkBytes = 32 << 10
+	// maxKeptBodyBytes is the maximum size of a body that is buffered so that
+	// it can be sent to a second target. A longer body is read only after a
+	// target has admitted the request.
+	maxKeptBodyBytes = 64 << 10
+	// maxTargets bounds the number of hosts that one request is sent to.
 	maxTargets = 3
 )
 
-// Forward is the sending side. A request goes one hop: the receiving host runs
-// it in its own failure domain or refuses it, so that two overloaded domains
-// cannot send each other the same requests.
+// Forward is the sending side. A request is forwarded only once: the receiving
+// host runs it in its own failure domain or refuses it, so that two overloaded
+// domains cannot send each other the same requests.
 type Forward struct {
 	// Clock measures deadlines.
 	Clock clockwork.Clock
@@ -38,45 +40,48 @@
 	Region string
 	// Version returns the version of the configuration in force.
 	Version func() uint64
-	// Targets returns hosts of other failure domains that may take a request
-	// of a service, best first.
+	// Targets returns hosts of other failure domains that may run a request of
+	// a service, best first.
 	Targets func(service string) []member.Member
-	// Link admits the bytes of a request on the link to a region. The function
-	// it returns corrects them by what was sent.
+	// Link reserves the bytes of a request on the link to a region. The
+	// function that it returns corrects the reservation to the bytes that were
+	// sent.
 	Link func(region string, bytes int64) (sent func(int64), retry time.Duration, ok bool)
-	// Open starts a stream to a host. Reused tells that its connection carried
-	// others before; fresh forbids that. Done ends the stream.
+	// Open opens a stream to a host. Reused reports whether its connection
+	// carried other streams before; fresh demands a new connection. Done ends
+	// the stream.
 	Open func(ctx context.Context, address string, fresh bool) (s wire.DRPCPeer_ForwardClient, reused bool, done func(clean bool), err error)
-	// Limit is how many requests are forwarded at once.
+	// Limit is the maximum number of requests that are forwarded at the same
+	// time.
 	Limit int
 
 	mu     sync.Mutex
 	active int
 }
 
-// Serve passes r on and writes the answer to w. Another target follows only
-// when the one before has proven that it did not run the request.
+// Serve forwards r and writes the answer to w. It tries another target only if
+// the one before is known not to have run the request.
 func (f *Forward) Serve(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
-	if !f.begin() {
-		return refuse("too many requests are forwarded", time.Second)
+	if !f.acquire() {
+		return refuse("too many requests are being forwarded", time.Second)
 	}
-	defer f.end()
-	b, err := load(r)
+	defer f.release()
+	b, err := loadBody(r)
 	if err != nil {
 		return outcome.Outcome{Outcome: outcome.Left, Ran: outcome.RanNo, Message: "the caller's body broke off"}
 	}
 	o := refuse("no failure domain has a free slot", time.Second)
 	n := 0
 	for _, m := range f.Targets(r.Service.Name) {
-		if n == maxTargets || b.spent() || ctx.Err() != nil {
+		if n == maxTargets || b.isConsumed() || ctx.Err() != nil {
 			break
 		}
 		n++
-		v := f.target(ctx, m, r, b, w)
-		if !tryNext(v) {
+		v := f.sendTo(ctx, m, r, b, w)
+		if !mayTryNext(v) {
 			return v
 		}
-		// The caller hears of the earliest time that any target named.
+		// The caller receives the earliest retry time that any target returned.
 		if n > 1 && o.RetryAfter > 0 && o.RetryAfter < v.RetryAfter {
 			v.RetryAfter = o.RetryAfter
 		}
@@ -85,25 +90,25 @@
 	return o
 }
 
-// target sends r to one host, and again on a fresh connection if the reused one
-// showed no life at all and a second run does no harm.
-func (f *Forward) target(ctx context.Context, m member.Member, r *request.Request, b *body, w http.ResponseWriter) outcome.Outcome {
-	s, e, ok := f.Link(m.Region, b.size(r))
+// sendTo sends r to one host. If a reused connection yields no frame at all and
+// the request may run twice, it sends r again on a new connection.
+func (f *Forward) sendTo(ctx context.Context, m member.Member, r *request.Request, b *body, w http.ResponseWriter) outcome.Outcome {
+	s, e, ok := f.Link(m.Region, b.linkBytes(r))
 	if !ok {
 		return refuse("the link to the other region is full", e)
 	}
-	c := &count{writer: w}
+	c := &transfer{writer: w}
 	defer func() { s(c.sent.Load()) }()
-	a := &attempt{forward: f, request: r, body: b, count: c}
+	a := &attempt{forward: f, request: r, body: b, transfer: c}
 	o := a.run(ctx, m.PeerAddress, r.NonIdempotent)
-	if o.Outcome == outcome.BackendFailed && a.reused && !a.heard && !b.spent() && ctx.Err() == nil {
-		a = &attempt{forward: f, request: r, body: b, count: c}
+	if o.Outcome == outcome.BackendFailed && a.reused && !a.gotFrame && !b.isConsumed() && ctx.Err() == nil {
+		a = &attempt{forward: f, request: r, body: b, transfer: c}
 		o = a.run(ctx, m.PeerAddress, true)
 	}
 	return o
 }
 
-func (f *Forward) begin() bool {
+func (f *Forward) acquire() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.active >= f.Limit {
@@ -113,67 +118,68 @@
 	return true
 }
 
-func (f *Forward) end() {
+func (f *Forward) release() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.active--
 }
 
-// tryNext reports whether another domain may take the request: it did not run,
-// and the reason lies in the domain that refused it.
-func tryNext(o outcome.Outcome) bool {
+// mayTryNext reports whether another failure domain may run the request: it did
+// not run, and it was refused for a reason that is specific to the domain.
+func mayTryNext(o outcome.Outcome) bool {
 	return o.Ran == outcome.RanNo && (o.Outcome == outcome.NoCapacity || o.Outcome == outcome.Leaving)
 }
 
-// body is the caller's body, kept whole if it is short.
+// body is the body of a caller's request, buffered completely if it is short.
 type body struct {
-	whole  []byte
-	rest   io.Reader
-	length int64
-	read   bool
+	kept     []byte
+	unread   io.Reader
+	length   int64
+	consumed bool
 }
 
-func load(r *request.Request) (*body, error) {
+func loadBody(r *request.Request) (*body, error) {
 	if r.Body == nil {
 		return &body{}, nil
 	}
-	if r.Length > bodyBytes {
-		return &body{rest: r.Body, length: r.Length}, nil
+	if r.Length > maxKeptBodyBytes {
+		return &body{unread: r.Body, length: r.Length}, nil
 	}
-	b, err := io.ReadAll(io.LimitReader(r.Body, bodyBytes+1))
+	b, err := io.ReadAll(io.LimitReader(r.Body, maxKeptBodyBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "body")
 	}
-	if len(b) <= bodyBytes {
-		return &body{whole: b, length: int64(len(b))}, nil
+	if len(b) <= maxKeptBodyBytes {
+		return &body{kept: b, length: int64(len(b))}, nil
 	}
-	return &body{rest: io.MultiReader(bytes.NewReader(b), r.Body), length: int64(len(b))}, nil
+	return &body{unread: io.MultiReader(bytes.NewReader(b), r.Body), length: int64(len(b))}, nil
 }
 
-// spent reports whether a part of the body is gone.
-func (b *body) spent() bool {
-	return b.read
+// isConsumed reports whether reading of an unbuffered body has begun, so that
+// it cannot be sent again.
+func (b *body) isConsumed() bool {
+	return b.consumed
 }
 
 // reader returns the body from its start.
 func (b *body) reader() io.Reader {
-	if b.rest == nil {
-		return bytes.NewReader(b.whole)
+	if b.unread == nil {
+		return bytes.NewReader(b.kept)
 	}
-	b.read = true
-	return b.rest
+	b.consumed = true
+	return b.unread
 }
 
-// known returns the body's length, -1 when it is not known.
-func (b *body) known(r *request.Request) int64 {
-	if b.rest == nil {
+// knownLength returns the body's length, or -1 if it is unknown.
+func (b *body) knownLength(r *request.Request) int64 {
+	if b.unread == nil {
 		return b.length
 	}
 	return r.Length
 }
 
-// size estimates the bytes of a request on the link.
-func (b *body) size(r *request.Request) int64 {
+// linkBytes estimates the bytes that a request uses on the link.
+func (b *body) linkBytes(r *request.Request) int64 {
 	n := b.length + int64(len(r.Target))
 	for k, v := range r.Header {
 		for _, s := range v {
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -23,12 +23,12 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// rig is a Forward over streams that play the other end from a script.
-type rig struct {
+// harness is a Forward whose streams are answered by scripted hosts.
+type harness struct {
 	clock   *clockwork.FakeClock
 	forward *Forward
 	targets []member.Member
-	plays   map[string][][]string
+	scripts map[string][][]string
 	full    string
 	mu      sync.Mutex
 	log     []string
@@ -38,8 +38,8 @@
 	cancel  context.CancelFunc
 }
 
-func newRig() *rig {
-	r := &rig{clock: clockwork.NewFakeClock(), plays: map[string][][]string{}}
+func newHarness() *harness {
+	r := &harness{clock: clockwork.NewFakeClock(), scripts: map[string][][]string{}}
 	r.forward = &Forward{
 		Clock: r.clock, Region: "here", Version: func() uint64 { return 7 }, Limit: 2, Open: r.open,
 		Targets: func(string) []member.Member { return r.targets },
@@ -54,24 +54,24 @@
 	return r
 }
 
-func (r *rig) note(f string, a ...any) {
+func (r *harness) note(f string, a ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.log = append(r.log, fmt.Sprintf(f, a...))
 }
 
-func (r *rig) notes() string {
+func (r *harness) notes() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return strings.Join(r.log, " ")
 }
 
-func (r *rig) open(ctx context.Context, a string, fresh bool) (wire.DRPCPeer_ForwardClient, bool, func(bool), error) {
-	if len(r.plays[a]) == 0 {
+func (r *harness) open(ctx context.Context, a string, fresh bool) (wire.DRPCPeer_ForwardClient, bool, func(bool), error) {
+	if len(r.scripts[a]) == 0 {
 		return nil, false, nil, errors.New("refused")
 	}
-	p := r.plays[a][0]
-	r.plays[a] = r.plays[a][1:]
+	p := r.scripts[a][0]
+	r.scripts[a] = r.scripts[a][1:]
 	reused := p[0] == "reused"
 	if reused {
 		if fresh {
@@ -79,7 +79,7 @@
 		}
 		p = p[1:]
 	}
-	s := &stream{rig: r, ctx: ctx, name: a, play: p, whole: make(chan struct{})}
+	s := &stream{rig: r, ctx: ctx, name: a, script: p, whole: make(chan struct{})}
 	return s, reused, func(clean bool) {
 		if !clean {
 			r.note("%s:closed", a)
@@ -87,15 +87,15 @@
 	}, nil
 }
 
-// stream plays one word of its script for each frame that is read.
+// stream executes one word of its script for each frame that is read.
 type stream struct {
 	wire.DRPCPeer_ForwardClient
-	rig   *rig
-	ctx   context.Context
-	name  string
-	play  []string
-	body  int
-	whole chan struct{}
+	rig    *harness
+	ctx    context.Context
+	name   string
+	script []string
+	body   int
+	whole  chan struct{}
 }
 
 func (s *stream) Send(m *wire.Frame) error {
@@ -112,17 +112,17 @@
 }
 
 func (s *stream) Recv() (*wire.Frame, error) {
-	if len(s.play) == 0 {
+	if len(s.script) == 0 {
 		return nil, io.EOF
 	}
-	w, arg, _ := strings.Cut(s.play[0], "=")
-	s.play = s.play[1:]
+	w, arg, _ := strings.Cut(s.script[0], "=")
+	s.script = s.script[1:]
 	switch w {
 	case "alive":
 		return &wire.Frame{Part: &wire.Frame_Alive{Alive: true}}, nil
 	case "wanted":
 		return &wire.Frame{Part: &wire.Frame_BodyWanted{BodyWanted: true}}, nil
-	case "whole": // waits for the whole body
+	case "whole": // waits until the complete body has been sent
 		<-s.whole
 		return s.Recv()
 	case "refuse":
@@ -135,7 +135,7 @@
 	case "body":
 		return &wire.Frame{Part: &wire.Frame_Body{Body: []byte(arg)}}, nil
 	case "large":
-		return &wire.Frame{Part: &wire.Frame_Body{Body: make([]byte, heldBytes+1)}}, nil
+		return &wire.Frame{Part: &wire.Frame_Body{Body: make([]byte, maxHeldAnswerBytes+1)}}, nil
 	case "end":
 		return &wire.Frame{Part: &wire.Frame_End{End: true}}, nil
 	case "silent":
@@ -146,8 +146,8 @@
 	}
 }
 
-// serve starts one request; it runs until the script ends it.
-func (r *rig) serve(method string, size int) {
+// serve starts one request, which runs until the script ends it.
+func (r *harness) serve(method string, size int) {
 	x, f := context.WithCancel(context.Background())
 	r.cancel = f
 	r.ended = make(chan struct{})
@@ -178,19 +178,19 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(e *testscript.Env) error {
-			e.Values["rig"] = newRig()
+			e.Values["rig"] = newHarness()
 			return nil
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
-			// target NAME REGION WORDS...: one stream to a host plays WORDS.
+			// target NAME REGION WORDS... adds a stream to a host that executes WORDS.
 			"target": func(s *testscript.TestScript, _ bool, a []string) {
 				r := get(s)
-				if _, ok := r.plays[a[0]]; !ok {
+				if _, ok := r.scripts[a[0]]; !ok {
 					r.targets = append(r.targets, member.Member{Name: a[0], PeerAddress: a[0], Region: a[1]})
 				}
-				r.plays[a[0]] = append(r.plays[a[0]], a[2:])
+				r.scripts[a[0]] = append(r.scripts[a[0]], a[2:])
 				if len(a) == 2 {
-					r.plays[a[0]] = [][]string{}
+					r.scripts[a[0]] = [][]string{}
 				}
 			},
 			"linkfull": func(s *testscript.TestScript, _ bool, a []string) { get(s).full = a[0] },
@@ -199,17 +199,17 @@
 				s.Check(err)
 				get(s).serve(a[0], n)
 			},
-			// silence lets time pass until the request has ended.
-			"silence": func(s *testscript.TestScript, _ bool, _ []string) { pass(get(s).clock, get(s).ended) },
+			// silence advances the clock until the request has ended.
+			"silence": func(s *testscript.TestScript, _ bool, _ []string) { advanceUntil(get(s).clock, get(s).ended) },
 			"leave": func(s *testscript.TestScript, _ bool, _ []string) {
 				s.Check(get(s).clock.BlockUntilContext(context.Background(), 1))
 				get(s).cancel()
 			},
-			// arrived waits until a note is there: the body is sent beside the wait
-			// for the answer, and which comes first is not the script's to say.
+			// arrived waits until a note is recorded. The body is sent concurrently
+			// with the wait for the answer, so the script cannot know which is first.
 			"arrived": func(s *testscript.TestScript, _ bool, a []string) {
 				for !strings.Contains(get(s).notes(), a[0]) {
-					<-time.After(time.Millisecond) //nolint:forbidigo // lets goroutines run
+					<-time.After(time.Millisecond) //nolint:forbidigo // gives other goroutines time to run
 				}
 			},
 			"result": func(s *testscript.TestScript, _ bool, a []string) {
@@ -226,19 +226,20 @@
 	})
 }
 
-// pass advances the clock second by second. How many it takes depends on when
-// the parties begin to wait; package pulse's own test counts them.
-func pass(c *clockwork.FakeClock, ended <-chan struct{}) {
+// advanceUntil advances the clock in steps of a second until ended is closed.
+// The number of steps depends on when the goroutines start to wait; the test of
+// package pulse checks the exact times.
+func advanceUntil(c *clockwork.FakeClock, ended <-chan struct{}) {
 	for {
 		select {
 		case <-ended:
 			return
-		case <-time.After(time.Millisecond): //nolint:forbidigo // lets goroutines run
+		case <-time.After(time.Millisecond): //nolint:forbidigo // gives other goroutines time to run
 			c.Advance(time.Second)
 		}
 	}
 }
 
-func get(s *testscript.TestScript) *rig { return s.Value("rig").(*rig) }
+func get(s *testscript.TestScript) *harness { return s.Value("rig").(*harness) }
 
 func check(s *testscript.TestScript) scripttest.Scripttest { return scripttest.Scripttest{Script: s} }
--- a/receive/bench_test.go
+++ b/receive/bench_test.go
@@ -27,8 +27,9 @@
 
 var page = []byte(strings.Repeat("x", 20_000))
 
-// pair is a sending and a receiving host on loopback.
-func pair(t testing.TB) *forward.Forward {
+// newForwardPair starts a receiving host on loopback and returns a Forward that
+// sends to it.
+func newForwardPair(t testing.TB) *forward.Forward {
 	c := clockwork.NewRealClock()
 	s := snapshot.New(&config.Config{
 		Services: []service.Service{{Name: "s"}}, Keys: []credential.Credential{{Hash: "k", Account: "a"}},
@@ -69,26 +70,27 @@
 	w := httptest.NewRecorder()
 	o := f.Serve(t.Context(), &request.Request{
 		ID: "1", Method: "GET", Target: "/", Credential: credential.Credential{Hash: "k"}, Service: service.Service{Name: "s"},
-		Deadline: time.Now().Add(time.Minute), NonIdempotent: nonIdempotent, //nolint:forbidigo // a real clock here
+		Deadline: time.Now().Add(time.Minute), NonIdempotent: nonIdempotent, //nolint:forbidigo // the test uses the real clock
 	}, w)
 	must.EqOp(t, outcome.Answered, o.Outcome)
 	return w
 }
 
-// A parent's listing is answered by another domain, whole and byte by byte the
-// same, also on a connection that carried another request before.
+// An answer from another failure domain arrives complete and unchanged, also on
+// a connection that has carried an earlier request.
 func TestWholeAnswer(t *testing.T) {
-	f := pair(t)
+	f := newForwardPair(t)
 	for range 3 {
 		must.EqOp(t, string(page), serve(t, f, false).Body.String())
 	}
 }
 
-// Non-idempotent requests go over fresh connections, the others over kept ones.
+// BenchmarkForward forwards non-idempotent requests, which use new connections,
+// and idempotent ones, which reuse connections.
 func BenchmarkForward(b *testing.B) {
 	for _, n := range []bool{true, false} {
 		b.Run(map[bool]string{true: "fresh", false: "kept"}[n], func(b *testing.B) {
-			f := pair(b)
+			f := newForwardPair(b)
 			for b.Loop() {
 				serve(b, f, n)
 			}
--- a/receive/body.go
+++ b/receive/body.go
@@ -11,24 +11,24 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// body is the body of a forwarded request. A goroutine takes the sender's
-// frames, whoever reads, so that a sender that leaves or falls silent is noticed
-// while the request waits for a slot.
+// body is the body of a forwarded request. A goroutine receives the sender's
+// frames even while nothing reads the body, so that a disconnected or silent
+// sender is noticed while the request waits for a slot.
 type body struct {
-	stream wire.DRPCPeer_ForwardStream
-	pulse  *pulse.Pulse
-	ctx    context.Context //nolint:containedctx // ends waiting readers
-	pieces chan []byte
-	ended  chan error
-	once   sync.Once
-	rest   []byte
-	err    error
+	stream   wire.DRPCPeer_ForwardStream
+	pulse    *pulse.Pulse
+	ctx      context.Context //nolint:containedctx // cancels blocked reads
+	chunks   chan []byte
+	ended    chan error
+	once     sync.Once
+	buffered []byte
+	err      error
 }
 
-// read passes the pieces on until the body or the stream has ended, and cancels
-// the request when the stream has. A stream that ends without its end frame is
-// an error, so that a cut body is never taken for a whole one.
-func (b *body) read(cancel context.CancelFunc) {
+// receiveFrames passes on the chunks of the body until the stream ends, and
+// then cancels the request. A stream that ends without an end frame is an
+// error, so that a truncated body is never treated as complete.
+func (b *body) receiveFrames(cancel context.CancelFunc) {
 	defer cancel()
 	w := false
 	for {
@@ -49,7 +49,7 @@
 			b.ended <- io.EOF
 		case len(m.GetBody()) > 0 && !w:
 			select {
-			case b.pieces <- m.GetBody():
+			case b.chunks <- m.GetBody():
 			case <-b.ctx.Done():
 				return
 			}
@@ -57,30 +57,31 @@
 	}
 }
 
-// Read returns the next piece of the body. The first call asks for it, which
-// tells the sender that the request was admitted.
+// Read returns the next chunk of the body. The first call requests the body
+// from the sender, which thereby learns that the request was admitted.
 func (b *body) Read(p []byte) (int, error) {
 	b.once.Do(func() {
 		b.err = b.stream.Send(&wire.Frame{Part: &wire.Frame_BodyWanted{BodyWanted: true}})
 	})
-	for len(b.rest) == 0 {
+	for len(b.buffered) == 0 {
 		if b.err != nil {
 			return 0, b.err
 		}
 		select {
-		case b.rest = <-b.pieces:
+		case b.buffered = <-b.chunks:
 		case b.err = <-b.ended:
 		case <-b.ctx.Done():
-			b.err = b.cause()
+			b.err = b.endError()
 		}
 	}
-	n := copy(p, b.rest)
-	b.rest = b.rest[n:]
+	n := copy(p, b.buffered)
+	b.buffered = b.buffered[n:]
 	return n, nil
 }
 
-// cause prefers the reader's own error to the cancel that follows it.
-func (b *body) cause() error {
+// endError returns the error that ended the stream, if there is one, instead of
+// the cancellation that it causes.
+func (b *body) endError() error {
 	select {
 	case err := <-b.ended:
 		return err
--- a/receive/receive.go
+++ b/receive/receive.go
@@ -16,19 +16,20 @@
 )
 
 const (
-	pulseEvery = time.Second
-	maxSilence = 3 * time.Second
+	keepaliveInterval = time.Second
+	maxSilence        = 3 * time.Second
 )
 
-// Receive is the receiving side of forwarding. It never forwards in turn.
+// Receive is the receiving side of forwarding. It never forwards a request
+// again.
 type Receive struct {
 	// Clock measures deadlines.
 	Clock clockwork.Clock
-	// Snapshot returns the configuration in force, nil before the first.
+	// Snapshot returns the configuration in force, nil before the first one.
 	Snapshot func() *snapshot.Snapshot
-	// Admit admits a request from a region, or returns the outcome that
-	// refuses it. The function it returns is told how the request ended and
-	// how many bytes of the answer were sent.
+	// Admit admits a request from a region, or returns the outcome that refuses
+	// it. The function that it returns is called with the outcome of the
+	// request and the number of bytes sent as its answer.
 	Admit func(r *request.Request, region string) (ended func(o outcome.Outcome, bytes int64), o outcome.Outcome)
 	// Serve runs a request in the host's own failure domain.
 	Serve func(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome
@@ -44,47 +45,48 @@
 	if h == nil {
 		return nil
 	}
-	// The sender learns at once that this connection works.
+	// Confirm immediately that this connection works.
 	if err := s.Send(&wire.Frame{Part: &wire.Frame_Alive{Alive: true}}); err != nil {
 		return err
 	}
-	r, o := v.request(h)
+	r, o := v.newRequest(h)
 	if o.Outcome != "" {
-		return refuse(s, o)
+		return sendRefusal(s, o)
 	}
 	e, o := v.Admit(r, h.FromRegion)
 	if o.Outcome != "" {
-		return refuse(s, o)
+		return sendRefusal(s, o)
 	}
-	w := &answer{stream: s, header: make(http.Header)}
+	w := &answerWriter{stream: s, header: make(http.Header)}
 	o = v.run(s, r, h.HasBody, w)
 	e(o, w.bytes)
 	if w.err != nil {
 		return w.err
 	}
 	if o.Outcome == outcome.Answered {
-		w.WriteHeader(http.StatusOK) // sends nothing if there is a head
+		w.WriteHeader(http.StatusOK) // no-op if the head has been sent
 		return s.Send(&wire.Frame{Part: &wire.Frame_End{End: true}})
 	}
-	return refuse(s, o)
+	return sendRefusal(s, o)
 }
 
-// run serves r while it watches the sender. When the caller has left, or the
-// sender has gone silent, ctx ends and with it the request.
-func (v *Receive) run(s wire.DRPCPeer_ForwardStream, r *request.Request, hasBody bool, w *answer) outcome.Outcome {
+// run serves r and watches the sender. When the caller has disconnected or the
+// sender is silent, the context ends and with it the request.
+func (v *Receive) run(s wire.DRPCPeer_ForwardStream, r *request.Request, hasBody bool, w *answerWriter) outcome.Outcome {
 	x, c := context.WithCancel(s.Context())
 	p := &pulse.Pulse{
-		Clock: v.Clock, Every: pulseEvery, First: maxSilence, Silence: maxSilence, Lost: c,
+		Clock: v.Clock, Every: keepaliveInterval, First: maxSilence, Silence: maxSilence, Lost: c,
 		Send: func() error { return s.Send(&wire.Frame{Part: &wire.Frame_Alive{Alive: true}}) },
 	}
-	b := &body{stream: s, pulse: p, ctx: x, pieces: make(chan []byte), ended: make(chan error, 1)}
+	b := &body{stream: s, pulse: p, ctx: x, chunks: make(chan []byte), ended: make(chan error, 1)}
 	if hasBody {
 		r.Body = b
 	}
 	d := make(chan struct{})
 	go p.Run(x, d)
-	// It ends with the stream, which the return of Stream ends.
-	go b.read(c)
+	// receiveFrames returns when the stream ends, at the latest when Stream
+	// returns.
+	go b.receiveFrames(c)
 	defer func() {
 		c()
 		<-d
@@ -92,8 +94,9 @@
 	return v.serve(x, r, w)
 }
 
-// serve ends a stream without its end frame when the answer broke off.
-func (v *Receive) serve(ctx context.Context, r *request.Request, w *answer) (o outcome.Outcome) {
+// serve runs a request. If its answer is aborted, the stream ends without an
+// end frame.
+func (v *Receive) serve(ctx context.Context, r *request.Request, w *answerWriter) (o outcome.Outcome) {
 	defer func() {
 		if p := recover(); p != nil {
 			if p != http.ErrAbortHandler { //nolint:errorlint // a panic value, not an error chain
@@ -105,7 +108,7 @@
 	return v.Serve(ctx, r, w)
 }
 
-func (v *Receive) request(h *wire.Request) (*request.Request, outcome.Outcome) {
+func (v *Receive) newRequest(h *wire.Request) (*request.Request, outcome.Outcome) {
 	r := &request.Request{
 		ID: h.Id, Method: h.Method, Target: h.Target, Header: make(http.Header, len(h.Headers)),
 		Deadline: v.Clock.Now().Add(time.Duration(h.TimeoutNanoseconds)), IdempotencyID: h.IdempotencyId,
@@ -116,14 +119,14 @@
 	}
 	s := v.Snapshot()
 	if s == nil {
-		return r, refusal(outcome.NoCapacity, "the host has no configuration yet")
+		return r, refusal(outcome.NoCapacity, "the receiving host has no configuration yet")
 	}
 	c, ok := s.Key(h.KeyId)
 	switch {
 	case ok:
 	case s.Config.Version < h.ConfigVersion:
-		// The sender knows a newer configuration, so the key may be new; to
-		// call it withdrawn would be false.
+		// The sender has a newer configuration, so the key may be new. It must
+		// not be reported as withdrawn.
 		return r, refusal(outcome.NoCapacity, "the host has an older configuration")
 	default:
 		return r, refusal(outcome.KeyUnknown, "the key was withdrawn")
@@ -136,39 +139,39 @@
 			return r, outcome.Outcome{}
 		}
 	}
-	return r, refusal(outcome.NoCapacity, "the host does not know the service")
+	return r, refusal(outcome.NoCapacity, "the service is not configured on the receiving host")
 }
 
 func refusal(o, m string) outcome.Outcome {
 	return outcome.Outcome{Outcome: o, Ran: outcome.RanNo, Message: m, RetryAfter: time.Second}
 }
 
-func refuse(s wire.DRPCPeer_ForwardStream, o outcome.Outcome) error {
+func sendRefusal(s wire.DRPCPeer_ForwardStream, o outcome.Outcome) error {
 	return s.Send(&wire.Frame{Part: &wire.Frame_Refusal{Refusal: &wire.Refusal{
 		Outcome: o.Outcome, Ran: o.Ran, Message: o.Message, RetryAfterNanoseconds: int64(o.RetryAfter),
 	}}})
 }
 
-// answer sends what a handler writes as frames.
-type answer struct {
-	stream wire.DRPCPeer_ForwardStream
-	header http.Header
-	begun  bool
-	bytes  int64
-	err    error
+// answerWriter is a ResponseWriter that sends the answer as frames.
+type answerWriter struct {
+	stream   wire.DRPCPeer_ForwardStream
+	header   http.Header
+	headSent bool
+	bytes    int64
+	err      error
 }
 
 // Header returns the header that WriteHeader sends.
-func (a *answer) Header() http.Header {
+func (a *answerWriter) Header() http.Header {
 	return a.header
 }
 
 // WriteHeader sends the head of the answer.
-func (a *answer) WriteHeader(status int) {
-	if a.begun || status < http.StatusOK {
+func (a *answerWriter) WriteHeader(status int) {
+	if a.headSent || status < http.StatusOK {
 		return
 	}
-	a.begun = true
+	a.headSent = true
 	m := &wire.Answer{Status: int32(status)}
 	for k, v := range a.header {
 		m.Headers = append(m.Headers, &wire.Header{Name: k, Values: v})
@@ -179,8 +182,8 @@
 	a.send(&wire.Frame{Part: &wire.Frame_Answer{Answer: m}})
 }
 
-// Write sends a piece of the body.
-func (a *answer) Write(b []byte) (int, error) {
+// Write sends a chunk of the body.
+func (a *answerWriter) Write(b []byte) (int, error) {
 	a.WriteHeader(http.StatusOK)
 	a.send(&wire.Frame{Part: &wire.Frame_Body{Body: b}})
 	if a.err != nil {
@@ -190,7 +193,7 @@
 	return len(b), nil
 }
 
-func (a *answer) send(m *wire.Frame) {
+func (a *answerWriter) send(m *wire.Frame) {
 	if a.err == nil {
 		a.err = a.stream.Send(m)
 	}
--- a/receive/receive_test.go
+++ b/receive/receive_test.go
@@ -26,8 +26,8 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// rig is a Receive with a stream whose frames the script sends.
-type rig struct {
+// harness is a Receive with a stream whose frames the script sends.
+type harness struct {
 	clock   *clockwork.FakeClock
 	receive *Receive
 	serve   string
@@ -39,29 +39,29 @@
 	err     error
 }
 
-func newRig() *rig {
-	r := &rig{clock: clockwork.NewFakeClock(), in: make(chan *wire.Frame), ended: make(chan struct{})}
+func newHarness() *harness {
+	r := &harness{clock: clockwork.NewFakeClock(), in: make(chan *wire.Frame), ended: make(chan struct{})}
 	c := &config.Config{Version: 5, Services: []service.Service{{Name: "s"}}, Keys: []credential.Credential{{Hash: "k", Account: "a"}}}
 	s := snapshot.New(c, "")
 	r.receive = &Receive{Clock: r.clock, Snapshot: func() *snapshot.Snapshot { return s }, Serve: r.run, Admit: r.admission}
 	return r
 }
 
-func (r *rig) note(f string, a ...any) {
+func (r *harness) note(f string, a ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.out = append(r.out, fmt.Sprintf(f, a...))
 }
 
-func (r *rig) admission(_ *request.Request, region string) (func(outcome.Outcome, int64), outcome.Outcome) {
+func (r *harness) admission(_ *request.Request, region string) (func(outcome.Outcome, int64), outcome.Outcome) {
 	if r.admit != "" {
 		return nil, outcome.Outcome{Outcome: r.admit, Ran: outcome.RanNo}
 	}
 	return func(_ outcome.Outcome, n int64) { r.note("ended:%s,%d", region, n) }, outcome.Outcome{}
 }
 
-// run is the handler; serve says what it does.
-func (r *rig) run(ctx context.Context, q *request.Request, w http.ResponseWriter) outcome.Outcome {
+// run is the request handler. The serve field selects what it does.
+func (r *harness) run(ctx context.Context, q *request.Request, w http.ResponseWriter) outcome.Outcome {
 	a := outcome.Outcome{Outcome: outcome.Answered, Ran: outcome.RanYes}
 	switch r.serve {
 	case "refuse":
@@ -86,9 +86,9 @@
 
 type stream struct {
 	wire.DRPCPeer_ForwardStream
-	rig   *rig
-	ctx   context.Context
-	lived atomic.Bool
+	rig           *harness
+	ctx           context.Context
+	keepaliveSeen atomic.Bool
 }
 
 func (s *stream) Context() context.Context { return s.ctx }
@@ -108,8 +108,9 @@
 func (s *stream) Send(m *wire.Frame) error {
 	switch v := m.Part.(type) {
 	case *wire.Frame_Alive:
-		// How many follow the first depends on how long the request takes.
-		if s.lived.CompareAndSwap(false, true) {
+		// Only the first keepalive is recorded, because the number of further
+		// ones depends on how long the request takes.
+		if s.keepaliveSeen.CompareAndSwap(false, true) {
 			s.rig.note("alive")
 		}
 	case *wire.Frame_BodyWanted:
@@ -130,7 +131,7 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(e *testscript.Env) error {
-			r := newRig()
+			r := newHarness()
 			e.Values["rig"] = r
 			x, f := context.WithCancel(context.Background())
 			go func() {
@@ -143,27 +144,27 @@
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
 			"handler": func(s *testscript.TestScript, _ bool, a []string) { get(s).serve = a[0] },
 			"admit":   func(s *testscript.TestScript, _ bool, a []string) { get(s).admit = a[0] },
-			// request METHOD KEY VERSION SERVICE body|none
+			// request METHOD KEY VERSION SERVICE body|none sends the request frame.
 			"request": func(s *testscript.TestScript, _ bool, a []string) {
 				v, err := strconv.ParseUint(a[2], 10, 64)
 				s.Check(err)
-				put(s, &wire.Frame{Part: &wire.Frame_Request{Request: &wire.Request{
+				sendFrame(s, &wire.Frame{Part: &wire.Frame_Request{Request: &wire.Request{
 					Method: a[0], KeyId: a[1], ConfigVersion: v, Service: a[3], HasBody: a[4] == "body",
 					FromRegion: "lagos", TimeoutNanoseconds: int64(time.Minute),
 				}}})
 			},
 			"body": func(s *testscript.TestScript, _ bool, a []string) {
-				put(s, &wire.Frame{Part: &wire.Frame_Body{Body: []byte(a[0])}})
+				sendFrame(s, &wire.Frame{Part: &wire.Frame_Body{Body: []byte(a[0])}})
 			},
 			"end": func(s *testscript.TestScript, _ bool, _ []string) {
-				put(s, &wire.Frame{Part: &wire.Frame_End{End: true}})
+				sendFrame(s, &wire.Frame{Part: &wire.Frame_End{End: true}})
 			},
 			"alive": func(s *testscript.TestScript, _ bool, _ []string) {
-				put(s, &wire.Frame{Part: &wire.Frame_Alive{Alive: true}})
+				sendFrame(s, &wire.Frame{Part: &wire.Frame_Alive{Alive: true}})
 			},
 			"hangup": func(s *testscript.TestScript, _ bool, _ []string) { close(get(s).in) },
-			// silence lets time pass until the stream has ended.
-			"silence": func(s *testscript.TestScript, _ bool, _ []string) { pass(get(s).clock, get(s).ended) },
+			// silence advances the clock until the stream has ended.
+			"silence": func(s *testscript.TestScript, _ bool, _ []string) { advanceUntil(get(s).clock, get(s).ended) },
 			"frames": func(s *testscript.TestScript, _ bool, a []string) {
 				<-get(s).ended
 				r := get(s)
@@ -176,27 +177,28 @@
 	})
 }
 
-// pass advances the clock second by second. How many it takes depends on when
-// the parties begin to wait; package pulse's own test counts them.
-func pass(c *clockwork.FakeClock, ended <-chan struct{}) {
+// advanceUntil advances the clock in steps of a second until ended is closed.
+// The number of steps depends on when the goroutines start to wait; the test of
+// package pulse checks the exact times.
+func advanceUntil(c *clockwork.FakeClock, ended <-chan struct{}) {
 	for {
 		select {
 		case <-ended:
 			return
-		case <-time.After(time.Millisecond): //nolint:forbidigo // lets goroutines run
+		case <-time.After(time.Millisecond): //nolint:forbidigo // gives other goroutines time to run
 			c.Advance(time.Second)
 		}
 	}
 }
 
-// put sends a frame, unless the stream has ended.
-func put(s *testscript.TestScript, m *wire.Frame) {
+// sendFrame sends a frame unless the stream has ended.
+func sendFrame(s *testscript.TestScript, m *wire.Frame) {
 	select {
 	case get(s).in <- m:
 	case <-get(s).ended:
 	}
 }
 
-func get(s *testscript.TestScript) *rig { return s.Value("rig").(*rig) }
+func get(s *testscript.TestScript) *harness { return s.Value("rig").(*harness) }
 
 func check(s *testscript.TestScript) scripttest.Scripttest { return scripttest.Scripttest{Script: s} }
