--- a/binding/binding.go
+++ b/binding/binding.go
@@ -1,7 +1,7 @@
-// Package binding tells how much of each region is left to requests that may be served
-// anywhere. A large account that may be served in one region only can need all of it,
-// while others stand half idle; requests that are free to go there must not take the
-// rest, and least the memory of its backend servers.
+// Package binding computes which fraction of each region is available to requests that
+// may be served in any region. A large account that is restricted to one region may
+// need all of it while other regions are half idle. Unrestricted requests must then not
+// use the capacity of that region, in particular not the memory of its backend servers.
 package binding
 
 import (
@@ -10,40 +10,42 @@
 )
 
 const (
-	// span is over what time requests are counted, several times as long as most
-	// troubles last: each change of a region's weight moves objects, and the first
-	// answer on an object at a new place is late.
-	span = 30 * time.Second
-	// prior is how many free requests are taken for counted at the start, so that the
-	// first few that come do not decide.
-	prior = 40
-	// least is the part of a region that is left to free requests however much is
-	// bound to it. Hosts then keep knowing how it does.
-	least = 0.05
-	// step is the least change of a part that counts. Smaller ones would move objects
-	// to and fro, on each host at another time.
-	step = 0.2
+	// decayTime is the time constant with which counted requests lose weight. It is
+	// several times as long as most disturbances: each change of a region's weight
+	// moves objects to other backend servers, and the first answer for an object at its
+	// new place is slow.
+	decayTime = 30 * time.Second
+	// initialFreeRequests is the number of unrestricted requests that count as received
+	// at the start, so that the first few requests do not decide.
+	initialFreeRequests = 40
+	// minLeft is the fraction of a region that stays available to unrestricted requests
+	// regardless of the demand of restricted ones, so that hosts keep measuring the
+	// region.
+	minLeft = 0.05
+	// minChange is the smallest change of a fraction that takes effect. Smaller changes
+	// would move objects back and forth, at different times on each host.
+	minChange = 0.2
 )
 
-// Binding counts the requests for one service, as this host sees them. It is not safe
-// for use by several goroutines: its owner's lock guards it.
+// Binding counts the requests for one service that this host receives. It is not safe
+// for concurrent use; the owner must hold its lock.
 type Binding struct {
-	// Changed is told when another part of a region is left; nil means nobody is.
+	// Changed is called when the available fraction of a region changes. It may be nil.
 	Changed func(region string, left float64)
 
-	regions map[string]*region
-	slots   float64 // of all regions
-	all     float64 // requests
-	counted time.Time
+	regions   map[string]*region
+	slots     float64 // of all regions
+	requests  float64
+	countedAt time.Time
 }
 
 type region struct {
 	slots float64
-	bound float64 // requests that must be served here
-	left  float64 // the part that is left to others, as it is used
+	bound float64 // requests that are restricted to this region
+	left  float64 // the available fraction that is in effect
 }
 
-// Fit takes the slots of each region's backend servers. What was counted is kept.
+// Fit sets the number of slots of each region. Counted requests are kept.
 func (b *Binding) Fit(slots map[string]int) {
 	o := b.regions
 	b.regions, b.slots = make(map[string]*region), 0
@@ -56,19 +58,21 @@
 		b.regions[n] = r
 		b.slots += r.slots
 	}
-	b.weigh()
+	b.updateLeft()
 }
 
-// Count takes a request that may be served in the regions of homes; nil means all.
+// Count counts a request that may be served in the regions for which homes returns
+// true. A nil homes means all regions.
 func (b *Binding) Count(homes func(region string) bool, now time.Time) {
-	b.age(now)
-	b.all++
-	b.bind(homes)
-	b.weigh()
+	b.decay(now)
+	b.requests++
+	b.countBound(homes)
+	b.updateLeft()
 }
 
-// bind counts a request for the regions that may serve it, unless all may.
-func (b *Binding) bind(homes func(region string) bool) {
+// countBound counts a request for the regions that may serve it, unless all of them
+// may.
+func (b *Binding) countBound(homes func(region string) bool) {
 	if homes == nil {
 		return
 	}
@@ -88,8 +92,8 @@
 	}
 }
 
-// Left returns the part of a region that is left to requests which may be served
-// anywhere, of 1.
+// Left returns the fraction of a region, in 0..1, that is available to requests which
+// may be served anywhere.
 func (b *Binding) Left(name string) float64 {
 	if r := b.regions[name]; r != nil {
 		return r.left
@@ -97,29 +101,29 @@
 	return 1
 }
 
-// age forgets what was counted long ago.
-func (b *Binding) age(now time.Time) {
-	if b.counted.IsZero() {
-		b.all = prior
+// decay reduces the weight of earlier requests by the time that has passed.
+func (b *Binding) decay(now time.Time) {
+	if b.countedAt.IsZero() {
+		b.requests = initialFreeRequests
 	} else {
-		f := math.Exp(-float64(now.Sub(b.counted)) / float64(span))
-		b.all *= f
+		f := math.Exp(-float64(now.Sub(b.countedAt)) / float64(decayTime))
+		b.requests *= f
 		for _, r := range b.regions {
 			r.bound *= f
 		}
 	}
-	b.counted = now
+	b.countedAt = now
 }
 
-// weigh compares each region's part of the requests, those that are bound to it, with
-// its part of the slots.
-func (b *Binding) weigh() {
+// updateLeft compares each region's share of the requests, counting those restricted to
+// it, with its share of the slots.
+func (b *Binding) updateLeft() {
 	for n, r := range b.regions {
 		l := 1.0
 		if r.bound > 0 {
-			l = max(1-(r.bound/b.all)/(r.slots/b.slots), least)
+			l = max(1-(r.bound/b.requests)/(r.slots/b.slots), minLeft)
 		}
-		if math.Abs(l-r.left) <= step {
+		if math.Abs(l-r.left) <= minChange {
 			continue
 		}
 		r.left = l
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -1,4 +1,4 @@
-// Package ingress describes the routes by which requests come in.
+// Package ingress describes the routes of incoming requests.
 package ingress
 
 import (
@@ -7,32 +7,34 @@
 	"celeryreach.example/celeryreach/portion"
 )
 
-// Ingress is one route: which requests it takes and how they are treated.
+// Ingress is one route: the requests that it matches and how they are handled.
 type Ingress struct {
 	// Name identifies the route in the configuration.
 	Name string
 	// Host is the value of the Host header, without a port.
 	Host string
-	// Prefix is the start of the path. It begins and ends with a slash; the
-	// longest one that fits decides.
+	// Prefix is the start of the path. It begins and ends with a slash. The
+	// longest matching prefix wins.
 	Prefix string
 	// NonIdempotent marks requests that run at most once.
 	NonIdempotent bool `json:",omitzero"`
-	// Timeout is how long a caller is kept waiting at most.
+	// Timeout is the longest time that a caller waits for an answer.
 	Timeout time.Duration
-	// Objective is the latency within which an answer is worth most.
+	// Objective is the target latency. An answer within it has the highest
+	// value.
 	Objective time.Duration
-	// Priority is the rank of the requests, 0 is the most urgent.
+	// Priority is the rank of the requests. 0 is the most urgent.
 	Priority int
-	// Portions are the services that the requests go to.
+	// Portions are the services that the requests are distributed to.
 	Portions []portion.Portion
-	// Attempts is how many backend servers one request may be sent to.
+	// Attempts is the maximum number of backend servers that one request is
+	// sent to.
 	Attempts int
-	// Public routes need no key.
+	// Public marks a route that needs no key.
 	Public bool `json:",omitzero"`
-	// Sticky tells that a backend server works faster on an object that it
-	// has lately worked on.
+	// Sticky marks requests for objects that a backend server serves faster if
+	// it has recently served the same object.
 	Sticky bool `json:",omitzero"`
-	// Homes are the regions that may serve the requests; empty means all.
+	// Homes are the regions that may serve the requests. Empty means all.
 	Homes []string `json:",omitzero"`
 }
--- a/ingressbook/ingressbook.go
+++ b/ingressbook/ingressbook.go
@@ -15,14 +15,13 @@
 	"celeryreach.example/celeryreach/service"
 )
 
-// maxWithdrawn bounds the withdrawn keys that are remembered.
+// maxWithdrawn is the maximum number of withdrawn keys that are kept.
 const maxWithdrawn = 1000
 
-// Ingressbook is one version of the configuration, arranged for look-ups. It is
-// never changed after New, so that every decision on a request is taken from
-// one version.
+// Ingressbook indexes one version of the configuration. It is immutable after
+// New, so that all decisions on a request are based on the same version.
 type Ingressbook struct {
-	// Config is the version that the look-ups answer from.
+	// Config is the indexed version.
 	Config *config.Config
 	// Since is when this version came into force on this host.
 	Since time.Time
@@ -31,7 +30,7 @@
 	accounts map[string]*account.Account
 	keys     map[string]*account.Account
 	services map[string]*service.Service
-	// withdrawn are keys of versions before, the last withdrawn at the end.
+	// withdrawn are keys of earlier versions, most recently withdrawn last.
 	withdrawn []withdrawal
 }
 
@@ -40,8 +39,8 @@
 	version uint64
 }
 
-// New arranges a configuration that comes into force in the place of the one
-// before, nil if it is the first.
+// New indexes a configuration that replaces the one of before. Before is nil
+// for the first configuration.
 func New(c *config.Config, before *Ingressbook, since time.Time) *Ingressbook {
 	b := &Ingressbook{
 		Config: c, Since: since, routes: make(map[string][]*ingress.Ingress), accounts: make(map[string]*account.Account),
@@ -66,13 +65,13 @@
 		b.services[c.Services[i].Name] = &c.Services[i]
 	}
 	if before != nil {
-		b.withdrawn = b.withdraw(before)
+		b.withdrawn = b.withdrawnKeys(before)
 	}
 	return b
 }
 
-// withdraw returns the keys that this version or one before took away.
-func (b *Ingressbook) withdraw(before *Ingressbook) []withdrawal {
+// withdrawnKeys returns the keys that this version or an earlier one withdrew.
+func (b *Ingressbook) withdrawnKeys(before *Ingressbook) []withdrawal {
 	var l []withdrawal
 	for _, w := range before.withdrawn {
 		if !b.Holds(w.hash) {
@@ -87,8 +86,8 @@
 	return slices.Clone(l[max(len(l)-maxWithdrawn, 0):])
 }
 
-// Route returns the route with the longest prefix that begins the path, nil if
-// there is none.
+// Route returns the route with the longest prefix of the path, nil if there is
+// none.
 func (b *Ingressbook) Route(host, path string) *ingress.Ingress {
 	for _, r := range b.routes[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -108,8 +107,9 @@
 	return b.keys[hash] != nil
 }
 
-// Withdrawn returns the version that withdrew the key with this hash. It knows the
-// last keys only, and those only that a version on this host had.
+// Withdrawn returns the version that withdrew the key with this hash. Only the
+// last maxWithdrawn keys are kept, and only keys of versions that were in force
+// on this host.
 func (b *Ingressbook) Withdrawn(hash string) (version uint64, ok bool) {
 	for _, w := range b.withdrawn {
 		if w.hash == hash {
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -1,4 +1,4 @@
-// Package snapshot indexes one accepted configuration for the request path.
+// Package snapshot indexes one accepted configuration for request processing.
 package snapshot
 
 import (
@@ -14,7 +14,7 @@
 	"celeryreach.example/celeryreach/service"
 )
 
-// Snapshot is a configuration with its indexes. It never changes, so requests
+// Snapshot is a configuration with its indexes. It is immutable, so requests
 // read it without a lock.
 type Snapshot struct {
 	// Config is the indexed configuration.
@@ -60,12 +60,12 @@
 		s.slots[b.Domain] += b.Slots
 	}
 	if err := s.blocks.Replace(c.Blocks); err != nil {
-		panic(err) // a block names a region, and validation bounds those
+		panic(err) // blocks refer to regions, whose number is limited by validation
 	}
 	return s
 }
 
-// Key returns the credential whose hash is given.
+// Key returns the credential with the given hash.
 func (s *Snapshot) Key(hash string) (credential.Credential, bool) {
 	k, ok := s.keys[hash]
 	return k, ok
@@ -82,7 +82,8 @@
 	return s.blocks.Find(a)
 }
 
-// Slots returns how many requests a failure domain's backend servers run.
+// Slots returns how many requests a failure domain's backend servers run at the
+// same time.
 func (s *Snapshot) Slots(domain string) int {
 	return s.slots[domain]
 }
@@ -98,7 +99,7 @@
 	return v, ok
 }
 
-// Service returns the service whose prefix is the longest match of path.
+// Service returns the service with the longest prefix of path.
 func (s *Snapshot) Service(path string) (service.Service, bool) {
 	var b service.Service
 	ok := false
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -31,9 +31,9 @@
 	return c
 }
 
-// BenchmarkVersion measures the parts of what one version costs: the operator's
-// host validates and makes the delta, every host applies the delta, hashes,
-// reads and indexes.
+// BenchmarkVersion measures the steps that a new version requires: the host of
+// the operator validates it and computes the delta; every host applies the
+// delta, and hashes, decodes and indexes the result.
 func BenchmarkVersion(b *testing.B) {
 	for _, n := range []int{1_000, 10_000, 100_000} {
 		c := large(n)
@@ -66,8 +66,9 @@
 	}
 }
 
-// BenchmarkMemory reports what a host holds for each account with two keys:
-// the content for its peers, the configuration and the indexes.
+// BenchmarkMemory measures the memory that a host uses for each account with
+// two keys: the encoded content for its peers, the configuration and the
+// indexes.
 func BenchmarkMemory(b *testing.B) {
 	const n = 100_000
 	v, err := codec.Marshal(large(n))
@@ -85,7 +86,8 @@
 	b.ReportMetric(float64(len(v))/n, "B-content/account")
 }
 
-// heap collects twice: pooled buffers outlive one collection.
+// heap runs the garbage collector twice, because pooled buffers survive the
+// first collection.
 func heap() uint64 {
 	runtime.GC()
 	runtime.GC()
