--- a/account/account.go
+++ b/account/account.go
@@ -1,7 +1,7 @@
 // Package account describes the client accounts that operators create.
 package account
 
-// Account is one client account and its limits, which count over all hosts
+// Account is one client account and its limits, which apply to all hosts
 // together.
 type Account struct {
 	// Name identifies the client account in the configuration.
@@ -10,12 +10,13 @@
 	Rate float64
 	// Burst is the number of requests that may arrive at once above Rate.
 	Burst float64
-	// Weight is the account's part of a contended queue; zero means one.
+	// Weight is the relative weight of the account in a contended queue. Zero
+	// means one.
 	Weight float64
-	// Priority, if Ranked, goes before the priority of the route.
+	// Priority replaces the priority of the route if Ranked is set.
 	Priority int `json:",omitzero"`
-	// Ranked tells that the account has a priority of its own.
+	// Ranked reports whether the account has its own priority.
 	Ranked bool `json:",omitzero"`
-	// Homes are the regions that may serve the account; empty means all.
+	// Homes are the regions that may serve the account. Empty means all.
 	Homes []string `json:",omitzero"`
 }
--- a/credential/credential.go
+++ b/credential/credential.go
@@ -1,4 +1,5 @@
-// Package credential describes keys as the configuration keeps them: hashed.
+// Package credential describes keys in the hashed form that the configuration
+// contains.
 package credential
 
 import (
@@ -6,16 +7,17 @@
 	"encoding/hex"
 )
 
-// Credential is one key of a client account or of an operator. The key itself
-// is shown once, when it is issued, and is stored nowhere.
+// Credential is one key of a client account or an operator. The key itself is
+// shown once, when it is issued, and is not stored anywhere.
 type Credential struct {
 	// ID names the key in commands and logs. It is not secret.
 	ID string
-	// Account is the client account the key speaks for. It is empty for
-	// operators.
+	// Account is the client account that the key belongs to. It is empty for
+	// keys of operators.
 	Account string `json:",omitzero"`
-	// Hash is the hex SHA-256 of the key. Keys carry 128 random bits or more,
-	// so a slow hash would add cost to each request and no protection.
+	// Hash is the hex-encoded SHA-256 of the key. Keys contain at least 128
+	// random bits, so a slow hash would make each request more expensive
+	// without added protection.
 	Hash string
 }
 
--- a/domain/domain.go
+++ b/domain/domain.go
@@ -6,8 +6,9 @@
 type Domain struct {
 	// Name identifies the failure domain.
 	Name string
-	// Region is the region it belongs to.
+	// Region is the region that the failure domain belongs to.
 	Region string
-	// Draining is set by operators: new callers are steered elsewhere.
+	// Draining is set by operators to steer new callers to other failure
+	// domains.
 	Draining bool `json:",omitzero"`
 }
--- a/entrylimit/entrylimit.go
+++ b/entrylimit/entrylimit.go
@@ -1,16 +1,17 @@
-// Package entrylimit describes what callers may send to an entry host.
+// Package entrylimit describes the limits on what callers may send to a host.
 package entrylimit
 
 import "time"
 
-// Entrylimit bounds a caller's requests and connections.
+// Entrylimit bounds the size and duration of a caller's requests and
+// connections.
 type Entrylimit struct {
-	// HeaderBytes is the greatest size of a request's header.
+	// HeaderBytes is the maximum size of a request's header.
 	HeaderBytes int
-	// BodyBytes is the greatest size of a request's body.
+	// BodyBytes is the maximum size of a request's body.
 	BodyBytes int64
 	// HeaderTimeout is how long a caller may take to send the header.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a kept connection may be without a request.
+	// IdleTimeout is how long a keep-alive connection may be idle.
 	IdleTimeout time.Duration
 }
--- a/status/status.go
+++ b/status/status.go
@@ -1,4 +1,5 @@
-// Package status describes what one host knows of itself and of others.
+// Package status describes the state of a host and what it knows about other
+// hosts.
 package status
 
 import (
@@ -8,37 +9,39 @@
 	"celeryreach.example/celeryreach/share"
 )
 
-// Status is the answer to an operator's question for the state.
+// Status is the answer to an operator's status request.
 type Status struct {
 	// Host is the host that answers.
 	Host member.Member
-	// ConfigVersion is the version in force on it.
+	// ConfigVersion is the configuration version in force on the host.
 	ConfigVersion uint64
 	// ConfigHash is the hash of that version's content.
 	ConfigHash string
-	// Preset is the preset in force on it.
+	// Preset is the preset in force on the host.
 	Preset string
-	// Loads are its loads by service.
+	// Loads are the loads of the host by service.
 	Loads []load.Load
-	// Shares are its parts of the client accounts' limits.
+	// Shares are the host's shares of the client accounts' limits.
 	Shares []share.Share
-	// SlotsLent are slots of its own that other hosts have on loan.
+	// SlotsLent is the number of own slots that are on loan to other hosts.
 	SlotsLent int
-	// SlotsBorrowed are slots of other hosts that it has on loan.
+	// SlotsBorrowed is the number of slots that are on loan from other hosts.
 	SlotsBorrowed int
-	// DivisionEpoch is the division that it knows.
+	// DivisionEpoch is the epoch of the division that the host has.
 	DivisionEpoch uint64
-	// PlanVersion is the plan in force on it.
+	// PlanVersion is the version of the plan in force on the host.
 	PlanVersion uint64
-	// PlanReason says what that plan changed.
+	// PlanReason describes what that plan changed.
 	PlanReason string `json:",omitzero"`
-	// Peers are the hosts it has heard lately.
+	// Peers are the hosts that have recently sent heartbeats.
 	Peers []member.Member
-	// Missing are hosts on the platform's list that it has not heard lately.
-	// The list lags, so a host that ended a moment ago can be among them.
+	// Missing are hosts on the platform's list that have not recently sent
+	// heartbeats. The list is updated with a delay, so it may contain hosts
+	// that have just stopped.
 	Missing []member.Member `json:",omitzero"`
-	// Unlisted says why the platform's list is not known.
+	// Unlisted is the error that prevented the read of the platform's list, if
+	// any.
 	Unlisted string `json:",omitzero"`
-	// InForce tells on which hosts ConfigVersion is in force.
+	// InForce shows on which hosts ConfigVersion is in force.
 	InForce inforce.Inforce
 }
