--- a/codec/codec.go
+++ b/codec/codec.go
@@ -1,6 +1,6 @@
-// Package codec writes and reads every JSON document of the system in one
-// way: field names in Pascal case as the fields are named, durations as
-// strings with a unit ("250ms"), unknown fields refused.
+// Package codec encodes and decodes every JSON document of the system in the
+// same way: field names are the Go field names, durations are strings with a
+// unit ("250ms"), and unknown fields are rejected.
 package codec
 
 import (
@@ -18,17 +18,17 @@
 	json.Deterministic(true),
 )
 
-// Marshal returns v on one line.
+// Marshal encodes v on one line.
 func Marshal(v any) ([]byte, error) {
 	return json.Marshal(v, options)
 }
 
-// MarshalIndent returns v over several lines, for people.
+// MarshalIndent encodes v on several lines, for human readers.
 func MarshalIndent(v any) ([]byte, error) {
 	return json.Marshal(v, options, jsontext.WithIndent("  "))
 }
 
-// Unmarshal reads one document into v. The error names the field by its JSON
+// Unmarshal decodes one document into v. The error names the field by its JSON
 // pointer.
 func Unmarshal(b []byte, v any) error {
 	return json.Unmarshal(b, v, options)
@@ -48,7 +48,7 @@
 	}
 	v, err := time.ParseDuration(t.String())
 	if err != nil {
-		return errors.Errorf("%q is no duration with a unit, such as \"250ms\"", t.String())
+		return errors.Errorf("%q is not a duration with a unit, such as \"250ms\"", t.String())
 	}
 	*d = v
 	return nil
--- a/copier/copier.go
+++ b/copier/copier.go
@@ -1,5 +1,5 @@
 // Package copier fetches newer copies of the store's tables from other hosts,
-// for a host whose own way to the store is blocked.
+// for a host that cannot reach the store itself.
 package copier
 
 import (
@@ -15,40 +15,41 @@
 )
 
 const (
-	// pending is how many questions wait at most; heartbeats bring the others
-	// again.
-	pending = 32
-	// fetchTimeout bounds a fetch, so that one silent host holds up the next
-	// question for no longer.
+	// maxPendingFetches is the maximum number of queued fetches. Others are
+	// dropped, and the next heartbeats trigger them again.
+	maxPendingFetches = 32
+	// fetchTimeout bounds a fetch, so that one silent host does not delay the
+	// next fetch for longer.
 	fetchTimeout = time.Second
 )
 
-// Copier compares what other hosts say they have with the own copies.
+// Copier compares the table versions that other hosts report with its own
+// copies.
 type Copier struct {
 	// Clock bounds fetches.
 	Clock clockwork.Clock
 	// Log receives one line for each fetch that failed.
 	Log *log.Logger
-	// Mirrors are the copies.
+	// Mirrors are the copies of the tables.
 	Mirrors []*mirror.Mirror
-	// Fetch asks a host.
+	// Fetch requests a copy from a host.
 	Fetch func(ctx context.Context, address string, f *wire.FetchRequest) (*wire.FetchResponse, error)
 
-	wanted chan wanted
+	jobs chan fetchJob
 }
 
-type wanted struct {
+type fetchJob struct {
 	address string
 	mirror  *mirror.Mirror
 	version uint64
 }
 
-// New returns a Copier; its fields are set before Run.
+// New returns a Copier. Its fields must be set before Run is called.
 func New() *Copier {
-	return &Copier{wanted: make(chan wanted, pending)}
+	return &Copier{jobs: make(chan fetchJob, maxPendingFetches)}
 }
 
-// Versions returns what this host has, for heartbeats.
+// Versions returns the versions of the own copies, for heartbeats.
 func (c *Copier) Versions() []*wire.Version {
 	var r []*wire.Version
 	for _, m := range c.Mirrors {
@@ -61,7 +62,8 @@
 	return r
 }
 
-// Heard takes what a host has. It never blocks.
+// Heard processes the versions that a host reports, and queues fetches of newer
+// ones. It never blocks.
 func (c *Copier) Heard(address string, l []*wire.Version) {
 	for _, v := range l {
 		for _, m := range c.Mirrors {
@@ -75,14 +77,14 @@
 				continue
 			}
 			select {
-			case c.wanted <- wanted{address: address, mirror: m, version: v.GetVersion()}:
+			case c.jobs <- fetchJob{address: address, mirror: m, version: v.GetVersion()}:
 			default:
 			}
 		}
 	}
 }
 
-// Answer gives another host the copy that it asks for.
+// Answer returns the copy that another host requests.
 func (c *Copier) Answer(f *wire.FetchRequest) *wire.FetchResponse {
 	for _, m := range c.Mirrors {
 		if m.Name != f.GetKind() {
@@ -90,26 +92,26 @@
 		}
 		v, b, err := m.Content()
 		if err != nil {
-			panic(err) // copies are plain data
+			panic(err) // copies are plain data, which can always be encoded
 		}
 		return &wire.FetchResponse{Version: v, Content: b, Total: uint64(len(b))}
 	}
 	return &wire.FetchResponse{}
 }
 
-// Run fetches until ctx ends.
+// Run processes queued fetches until ctx ends.
 func (c *Copier) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case w := <-c.wanted:
+		case w := <-c.jobs:
 			c.fetch(ctx, w)
 		}
 	}
 }
 
-func (c *Copier) fetch(ctx context.Context, w wanted) {
+func (c *Copier) fetch(ctx context.Context, w fetchJob) {
 	if !w.mirror.Wants(w.version) {
 		return
 	}
@@ -120,6 +122,6 @@
 		err = w.mirror.Adopt(r.GetContent())
 	}
 	if err != nil {
-		c.Log.Warn("copy not taken", "Table", w.mirror.Name, "From", w.address, "Version", w.version, "Error", err)
+		c.Log.Warn("cannot update copy of table", "Table", w.mirror.Name, "From", w.address, "Version", w.version, "Error", err)
 	}
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -1,5 +1,4 @@
-// Package gate decides, once, whether a request has left the host or has been
-// given up.
+// Package gate decides atomically whether a request is sent or refused.
 package gate
 
 import "sync"
@@ -10,18 +9,19 @@
 	refused
 )
 
-// Gate is the one state behind "not run" and "sent". Two flags would allow a
-// moment in which the caller is told "not run" while the request leaves; here
-// one of the two sides comes first, and the other one is told so. A nil Gate
-// lets every request pass and gives none up.
+// Gate is the single state that determines whether a request is reported as
+// sent or as "not run". With two separate flags, the caller could be told "not
+// run" while the request is being sent. Here one side always wins, and the
+// other side is informed. A nil Gate lets every request be sent and none be
+// refused.
 type Gate struct {
-	mu     sync.Mutex
-	state  int
-	wanted bool
+	mu            sync.Mutex
+	state         int
+	refusalWanted bool
 }
 
-// Send marks the request as sent. False means that it has been given up and
-// must not leave.
+// Send marks the request as sent. It returns false if the request has been
+// refused and must not be sent.
 func (g *Gate) Send() bool {
 	if g == nil {
 		return true
@@ -35,8 +35,9 @@
 	return true
 }
 
-// Return takes back Send after proof that the request did not run. False means
-// that somebody wanted to give it up meanwhile, and now has.
+// Return undoes Send after proof that the request did not run. It returns false
+// if Refuse was called in the meantime, in which case the request is now
+// refused.
 func (g *Gate) Return() bool {
 	if g == nil {
 		return true
@@ -44,20 +45,21 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.state = waiting
-	if g.wanted {
+	if g.refusalWanted {
 		g.state = refused
 	}
-	return !g.wanted
+	return !g.refusalWanted
 }
 
-// Refuse gives the request up. False means that it has been sent.
+// Refuse marks the request as refused. It returns false if the request has been
+// sent.
 func (g *Gate) Refuse() bool {
 	if g == nil {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.wanted = true
+	g.refusalWanted = true
 	if g.state == sent {
 		return false
 	}
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -9,10 +9,10 @@
 	"celeryreach.example/celeryreach/gate"
 )
 
-// The caller's phone loses its connection in the moment in which the deposit
-// leaves. Whatever the order of sending, giving up and proof of not run: what was
-// given up does not leave any more, and what is out is not called given up.
-func TestSentAndRefusedExclude(t *testing.T) {
+// A caller disconnects at the moment its request is sent. In any order of
+// sending, refusing and proof that the request did not run, a refused request
+// is never sent, and a sent request is never reported as refused.
+func TestSentAndRefusedAreExclusive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var g gate.Gate
 		out, given := false, false
--- a/hop/hop.go
+++ b/hop/hop.go
@@ -1,4 +1,5 @@
-// Package hop removes the header fields that belong to one connection.
+// Package hop removes hop-by-hop header fields, which apply to a single
+// connection.
 package hop
 
 import (
@@ -6,15 +7,16 @@
 	"strings"
 )
 
-// fields are those of RFC 9110, section 7.6.1, and its predecessors. Trailer
-// is one of them here because trailers are not passed on: RFC 9110, section
-// 6.5.1, lets an intermediary drop them, and a key could hide in one.
-var fields = []string{
+// hopByHopFields are the fields listed in RFC 9110, section 7.6.1, and its
+// predecessors. Trailer is included because trailers are not forwarded: RFC
+// 9110, section 6.5.1, allows an intermediary to drop them, and a key could be
+// hidden in one.
+var hopByHopFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Strip removes the hop-by-hop fields of h, also those that its Connection
+// Strip removes the hop-by-hop fields of h, including those that its Connection
 // field names.
 func Strip(h http.Header) {
 	for _, v := range h["Connection"] {
@@ -22,7 +24,7 @@
 			h.Del(strings.TrimSpace(n))
 		}
 	}
-	for _, n := range fields {
+	for _, n := range hopByHopFields {
 		h.Del(n)
 	}
 }
--- a/inflight/inflight.go
+++ b/inflight/inflight.go
@@ -1,4 +1,5 @@
-// Package inflight counts the requests that a host has begun and not ended.
+// Package inflight counts the requests that a host has started and not
+// finished.
 package inflight
 
 import (
@@ -6,14 +7,16 @@
 	"sync"
 )
 
-// Inflight is the count that a graceful shutdown waits for.
+// Inflight counts requests in flight. A graceful shutdown waits until the count
+// is zero.
 type Inflight struct {
 	mu    sync.Mutex
 	count int
 	zero  chan struct{}
 }
 
-// Begin counts a request in. The returned function counts it out, once.
+// Begin counts a started request. The returned function must be called once
+// when the request ends.
 func (i *Inflight) Begin() func() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -21,7 +24,8 @@
 	return i.end
 }
 
-// Wait waits until there are none or ctx ends, and returns how many are left.
+// Wait waits until no requests are in flight or ctx ends, and returns how many
+// are left.
 func (i *Inflight) Wait(ctx context.Context) int {
 	for {
 		i.mu.Lock()
--- a/pulse/pulse.go
+++ b/pulse/pulse.go
@@ -1,6 +1,7 @@
-// Package pulse finds out that the other end of a stream has gone silent.
-// Something between two hosts can lose track of a connection: nothing arrives,
-// and no error either. Both ends therefore say at intervals that they are there.
+// Package pulse detects that the other end of a stream has gone silent. A
+// device between two hosts can lose the state of a connection, after which
+// neither data nor an error arrives. Both ends therefore send keepalive
+// messages at intervals.
 package pulse
 
 import (
@@ -11,44 +12,44 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Pulse watches one stream.
+// Pulse monitors one stream.
 type Pulse struct {
 	// Clock paces the messages.
 	Clock clockwork.Clock
-	// Every is the time between two messages.
+	// Every is the interval between two keepalive messages.
 	Every time.Duration
 	// First is the longest silence before the first message.
 	First time.Duration
-	// Silence is the longest silence afterwards.
+	// Silence is the longest silence after the first message.
 	Silence time.Duration
-	// Send tells the other end that this one is there.
+	// Send sends a keepalive message to the other end.
 	Send func() error
-	// Lost is called once when the other end was silent for too long.
+	// Lost is called once when the other end has been silent for too long.
 	Lost func()
 
-	mu      sync.Mutex
-	waiting time.Time
-	heard   bool
+	mu           sync.Mutex
+	waitingSince time.Time
+	received     bool
 }
 
-// Wait notes that the reader waits for a message. Only this time counts: while
-// the reader is busy, messages may well have arrived.
+// Wait records that the reader starts waiting for a message. Only this time
+// counts as silence: while the reader is busy, messages may have arrived.
 func (p *Pulse) Wait() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.waiting = p.Clock.Now()
+	p.waitingSince = p.Clock.Now()
 }
 
-// Got notes that a message arrived.
+// Got records that a message arrived.
 func (p *Pulse) Got() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.waiting = time.Time{}
-	p.heard = true
+	p.waitingSince = time.Time{}
+	p.received = true
 }
 
-// Run watches until ctx ends. Its messages are sent by a goroutine of its own,
-// since a send on a dead connection may block.
+// Run monitors the stream until ctx ends or the stream is lost. A separate
+// goroutine sends the messages, because a send on a dead connection may block.
 func (p *Pulse) Run(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	d := make(chan struct{})
@@ -63,7 +64,7 @@
 			return
 		case <-t.Chan():
 		}
-		if p.silent() {
+		if p.isSilent() {
 			p.Lost()
 			<-d
 			return
@@ -82,18 +83,18 @@
 		case <-ctx.Done():
 			return
 		case <-due:
-			// An error shows at the reader as well.
+			// The reader receives an error of the stream as well.
 			_ = p.Send()
 		}
 	}
 }
 
-func (p *Pulse) silent() bool {
+func (p *Pulse) isSilent() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	d := p.First
-	if p.heard {
+	if p.received {
 		d = p.Silence
 	}
-	return !p.waiting.IsZero() && p.Clock.Since(p.waiting) >= d
+	return !p.waitingSince.IsZero() && p.Clock.Since(p.waitingSince) >= d
 }
--- a/pulse/pulse_test.go
+++ b/pulse/pulse_test.go
@@ -9,30 +9,30 @@
 	"github.com/shoenig/test/must"
 )
 
-// A caller waits on a stream that went silent. The other end is given up after
-// the stated time: shorter before the first message, counted anew by each one,
-// and not counted while the reader itself is busy.
+// A stream goes silent while a caller waits on it. The other end counts as lost
+// after the configured time, which is shorter before the first message,
+// restarts with each message and excludes the time in which the reader is busy.
 func TestSilence(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	p := &Pulse{Clock: c, First: time.Second, Silence: 3 * time.Second}
 	p.Wait()
 	c.Advance(999 * time.Millisecond)
-	must.False(t, p.silent())
+	must.False(t, p.isSilent())
 	c.Advance(time.Millisecond)
-	must.True(t, p.silent())
+	must.True(t, p.isSilent())
 	p.Got()
-	must.False(t, p.silent())
+	must.False(t, p.isSilent())
 	c.Advance(time.Hour)
-	must.False(t, p.silent())
+	must.False(t, p.isSilent())
 	p.Wait()
 	c.Advance(2999 * time.Millisecond)
-	must.False(t, p.silent())
+	must.False(t, p.isSilent())
 	c.Advance(time.Millisecond)
-	must.True(t, p.silent())
+	must.True(t, p.isSilent())
 }
 
-// The connection is so dead that a message on it blocks. That must not keep the
-// watch from ending the stream, which ends the message too.
+// A send blocks because the connection is dead. The monitor must still cancel
+// the stream, which also ends the send.
 func TestBlockedSend(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	x, f := context.WithCancel(t.Context())
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -1,4 +1,4 @@
-// Package supervisor keeps the parts of a process running.
+// Package supervisor keeps the components of a process running.
 package supervisor
 
 import (
@@ -11,38 +11,40 @@
 	"celeryreach.example/celeryreach/child"
 )
 
-// Supervisor starts its children in order, starts a failed one again after a
-// pause, and stops them in reverse order, one after another, so that a part
-// never outlives what it depends on. Its Run fits a child, so supervisors form
-// a tree.
+// Supervisor starts its children in order and restarts a failed one after a
+// delay. It stops them in reverse order, one at a time, so that no component
+// outlives one that it depends on. Run has the signature of Child.Run, so
+// supervisors can form a tree.
 type Supervisor struct {
 	// Clock paces the restarts.
 	Clock clockwork.Clock
 	// Log receives one line for each failed child.
 	Log *log.Logger
-	// Backoff is the pause before a failed child starts again. It doubles with
-	// each failure in a row, so that a part that cannot work costs little.
+	// Backoff is the delay before a failed child is restarted. It doubles with
+	// each consecutive failure, so that a component that cannot work uses few
+	// resources.
 	Backoff time.Duration
-	// MaxBackoff bounds the pause. A child that has run for longer than that
-	// counts as sound, and its next pause is Backoff again.
+	// MaxBackoff bounds the delay. After a run longer than MaxBackoff, the next
+	// delay is Backoff again.
 	MaxBackoff time.Duration
-	// Children are the parts, those that others depend on first.
+	// Children are the components, in an order in which each depends only on
+	// those before it.
 	Children []child.Child
 }
 
-// Run works until ctx ends and every child has reported its end.
+// Run runs the children until ctx ends and every child has returned.
 func (s *Supervisor) Run(ctx context.Context) error {
 	n := len(s.Children)
 	c := make([]context.CancelFunc, n)
 	d := make([]chan struct{}, n)
 	for i := range s.Children {
-		// The children's contexts do not descend from ctx: a shared cancel
-		// would end all of them at once and cut the requests that the last
-		// ones still drain.
+		// The children's contexts are not derived from the cancellation of ctx:
+		// it would stop all children at once and abort the requests that the
+		// last ones still drain.
 		x, f := context.WithCancel(context.WithoutCancel(ctx))
 		c[i] = f
 		d[i] = make(chan struct{})
-		go s.keep(x, s.Children[i], d[i])
+		go s.superviseChild(x, s.Children[i], d[i])
 	}
 	<-ctx.Done()
 	for i := n - 1; i >= 0; i-- {
@@ -52,7 +54,7 @@
 	return nil
 }
 
-func (s *Supervisor) keep(ctx context.Context, c child.Child, done chan<- struct{}) {
+func (s *Supervisor) superviseChild(ctx context.Context, c child.Child, done chan<- struct{}) {
 	defer close(done)
 	p := s.Backoff
 	for n := 1; ctx.Err() == nil; n++ {
--- a/supervisor/supervisor_test.go
+++ b/supervisor/supervisor_test.go
@@ -16,7 +16,7 @@
 	"celeryreach.example/celeryreach/supervisor"
 )
 
-// trace collects what the children do, in order.
+// trace records the starts and ends of children in order.
 type trace chan string
 
 func (r trace) child(name string, run func(ctx context.Context) error) child.Child {
@@ -44,9 +44,10 @@
 	}
 }
 
-// A part fails again and again, as with a port that is taken. Each restart
-// waits longer, up to a bound, so that a broken part costs little; after a
-// long good run the first wait is short again. Each restart leaves one line.
+// A component fails repeatedly, for example because its port is in use. The
+// delay before each restart grows up to a bound, so that a broken component
+// uses few resources, and is short again after a long run. Each failure logs
+// one line.
 func TestRestartWithBackoff(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	r := make(trace, 100)
@@ -86,9 +87,9 @@
 	must.True(t, strings.HasSuffix(strings.TrimSpace(b.String()), "Wait=1s"))
 }
 
-// Parts stop in the reverse order of their start, each after the one that
-// depends on it has ended, so that a request in flight keeps what it needs. A
-// part that has ended by itself with success is not started again.
+// Components stop in reverse order of their start, each after those that depend
+// on it have ended, so that a request in flight keeps what it needs. A
+// component that has returned without an error is not restarted.
 func TestStopOrder(t *testing.T) {
 	r := make(trace, 100)
 	s := &supervisor.Supervisor{
@@ -111,8 +112,8 @@
 	must.Eq(t, 0, len(r))
 }
 
-// A supervisor is itself a part of another one: the whole subtree ends before
-// the part that it depends on.
+// A supervisor can be a child of another one. The whole subtree ends before the
+// component that it depends on.
 func TestNested(t *testing.T) {
 	r := make(trace, 100)
 	in := &supervisor.Supervisor{
