--- a/author/author.go
+++ b/author/author.go
@@ -1,5 +1,5 @@
-// Package author writes divisions: it adds and drops holders and lets leased
-// parts follow the demand.
+// Package author writes divisions: it adds and removes holders and adjusts
+// leased parts to demand.
 package author
 
 import (
@@ -20,61 +20,68 @@
 	"celeryreach.example/celeryreach/store"
 )
 
-// earlierMost bounds the epochs that may be in use at once. While it is
-// reached nothing is written: a host that cannot settle must not make the row
-// grow.
-const earlierMost = 8
+// maxEarlierEpochs bounds the epochs that may be in use at once. No epoch is
+// written while it is reached, so that a host that does not move to later
+// epochs cannot make the row grow without limit.
+const maxEarlierEpochs = 8
 
 const (
-	// readers is how many hosts read the table at each step.
-	readers = 2
-	// seldom is how many steps the other hosts let pass between readings.
-	seldom = 10
-	// starts is how many times more often a host reads that has no division.
-	starts = 4
-	// found is the part of Hold in which starting hosts find each other before
-	// the first epoch. Who is late joins with the second.
-	found = 6
+	// activeReaders is the number of hosts that read the table at each step.
+	activeReaders = 2
+	// passiveReadSteps is the number of steps between two reads of any other
+	// host.
+	passiveReadSteps = 10
+	// startupReadFactor is how many times more often a host without a division
+	// reads the table.
+	startupReadFactor = 4
+	// discoveryDivisor divides Hold into the time for which starting hosts
+	// discover each other before they write the first epoch. A host that starts
+	// later joins with the second epoch.
+	discoveryDivisor = 6
 )
 
-// minorityHolds is how long, in multiples of Hold, a host that hears few others
-// leaves a division alone that others may still write.
-const minorityHolds = 10
+// minorityWaitHolds is how long, in multiples of Hold, a host that reaches only
+// a minority of the holders leaves the division to others that may still write
+// it.
+const minorityWaitHolds = 10
 
-// Author reads the division's row on every host and writes the next epoch on
-// the host whose name comes first; the others follow it only when it does not.
-// Two that write at once cost a conflict, never safety.
+// Author runs on every host and reads the division row. The host whose name
+// sorts first writes the next epoch; the others write it only if that host does
+// not. Two hosts that write at the same time cause a commit conflict, but never
+// an unsafe division.
 type Author struct {
-	// Clock paces the readings.
+	// Clock schedules the reads.
 	Clock clockwork.Clock
 	// Log receives one line for each epoch that this host writes.
 	Log *log.Logger
-	// Platform holds the row.
+	// Platform is the store that holds the row.
 	Platform store.Store
-	// Holding takes the divisions that are read.
+	// Holding receives the divisions that are read.
 	Holding *holding.Holding
-	// Alive returns the processes heard lately by this host or by its peers,
-	// this one included, leaving ones left out.
+	// Alive returns the processes from which this host or one of its peers
+	// recently received a heartbeat, this process included. Processes that shut
+	// down are left out.
 	Alive func() []holder.Holder
 	// Config returns the configuration in force, nil before the first.
 	Config func() *config.Config
-	// Demand returns the fraction of each limit that hosts ask for, by limit
-	// and host name.
+	// Demand returns the fraction of each limit that hosts request, by limit and
+	// host name.
 	Demand func() map[string]map[string]float64
-	// Listed reports whether the platform lists a process as live. The list
-	// lags, so it only delays what this host does.
+	// Listed reports whether the platform lists a process as live. The list is
+	// updated with a delay, so it is only used to postpone actions of this host.
 	Listed func(h holder.Holder) bool
-	// Every is the time between two readings.
+	// Every is the time between two reads.
 	Every time.Duration
-	// Least is the least time between two epochs that only follow the demand.
+	// Least is the minimum time between two epochs that only adjust parts to
+	// demand.
 	Least time.Duration
 
-	began   time.Time
-	asked   time.Time
-	changed time.Time // when the epoch last changed, as seen here
-	epoch   uint64
-	needed  time.Time // since when a new epoch is due
-	// The newest row that was decoded.
+	firstStepAt    time.Time
+	lastReadAt     time.Time
+	epochChangedAt time.Time // when this host last saw the epoch change
+	epoch          uint64
+	dueSince       time.Time // since when a new epoch is due
+	// version and division are the newest row that was decoded.
 	version  uint64
 	division division.Division
 }
@@ -85,16 +92,17 @@
 		a.Step(ctx)
 		select {
 		case <-ctx.Done():
-		case <-a.Clock.After(a.pause()):
+		case <-a.Clock.After(a.readInterval()):
 		}
 	}
 	return nil
 }
 
-// pause is short while this host has no division: its callers wait for it.
-func (a *Author) pause() time.Duration {
+// readInterval is shorter while this host has no division, since its callers
+// wait for one.
+func (a *Author) readInterval() time.Duration {
 	if a.Holding.Epoch() == 0 {
-		return a.Every / starts
+		return a.Every / startupReadFactor
 	}
 	return a.Every
 }
@@ -102,24 +110,24 @@
 // Step reads the row once and writes the next epoch if one is due.
 func (a *Author) Step(ctx context.Context) {
 	t := a.Clock.Now()
-	if !a.reads(t) {
+	if !a.shouldRead(t) {
 		return
 	}
-	a.asked = t
+	a.lastReadAt = t
 	x, f := clockwork.WithTimeout(ctx, a.Clock, a.Every)
 	defer f()
-	if a.began.IsZero() {
-		a.began = t
+	if a.firstStepAt.IsZero() {
+		a.firstStepAt = t
 	}
 	r, err := a.Platform.Read(x, division.RowKey)
 	if err != nil {
 		return
 	}
 	if r.Version != a.version {
-		// A row that has not changed is not decoded again.
+		// An unchanged row is not decoded again.
 		a.division = division.Division{}
 		if err := codec.Unmarshal(r.Value, &a.division); err != nil {
-			a.Log.Error("division unreadable", "Error", err)
+			a.Log.Error("cannot decode division row", "Error", err)
 			return
 		}
 		a.version = r.Version
@@ -128,64 +136,67 @@
 	if r.Version != 0 {
 		a.Holding.Learn(d, t)
 	}
-	n, ok := a.next(d)
+	n, ok := a.nextDue(d)
 	if !ok {
 		return
 	}
-	a.write(x, r, n)
+	a.writeEpoch(x, r, n)
 }
 
-// reads reports whether this host reads the table now. Two hosts always do, so
-// that one of them writes; the others learn of epochs by heartbeats and read
-// only when those don't suffice, since the table serves all hosts.
-func (a *Author) reads(now time.Time) bool {
-	return a.rank(a.Alive()) < readers || a.Holding.NeedsTable() || now.Sub(a.asked) >= seldom*a.Every
+// shouldRead reports whether this host reads the table now. The activeReaders
+// first hosts always do, so that one of them can write. The others learn of
+// epochs from heartbeats and read only when those do not suffice, since the
+// table serves all hosts.
+func (a *Author) shouldRead(now time.Time) bool {
+	return a.rank(a.Alive()) < activeReaders || a.Holding.NeedsTable() || now.Sub(a.lastReadAt) >= passiveReadSteps*a.Every
 }
 
-// next returns the epoch to write after d, if one is due by this host.
-func (a *Author) next(d division.Division) (division.Division, bool) {
+// nextDue returns the epoch to write after d, if this host should write one
+// now.
+func (a *Author) nextDue(d division.Division) (division.Division, bool) {
 	n := a.Clock.Now()
 	if d.Epoch != a.epoch {
 		a.epoch = d.Epoch
-		a.changed = n
-		a.needed = time.Time{}
+		a.epochChangedAt = n
+		a.dueSince = time.Time{}
 	}
 	c := a.Config()
-	if c == nil || d.Epoch == 0 && n.Sub(a.began) < a.Holding.Hold/found {
+	if c == nil || d.Epoch == 0 && n.Sub(a.firstStepAt) < a.Holding.Hold/discoveryDivisor {
 		return d, false
 	}
 	l := a.Alive()
 	if !a.Holding.Steady() {
-		// Who has just started or was paused has not heard the others yet,
-		// and would drop them all.
-		l = both(l, d.Holders)
+		// A process that has just started or was paused has not received the
+		// heartbeats of the others yet. Without this it would drop all of
+		// them.
+		l = unionByName(l, d.Holders)
 	}
 	o, ok := a.Holding.Current()
-	if ok && (o.Epoch != d.Epoch || len(o.Earlier) >= earlierMost) {
+	if ok && (o.Epoch != d.Epoch || len(o.Earlier) >= maxEarlierEpochs) {
 		return d, false
 	}
-	p := &plan{
-		old: o, config: c, alive: l, released: a.released,
-		demand: a.Demand(), follow: n.Sub(a.changed) >= a.Least,
+	p := &epochBuilder{
+		old: o, config: c, alive: l, floorsReleased: a.floorsReleased,
+		demand: a.Demand(), followDemand: n.Sub(a.epochChangedAt) >= a.Least,
 	}
-	if a.minority(d, p.alive, n) {
+	if a.inMinority(d, p.alive, n) {
 		return d, false
 	}
-	v, u := p.next()
+	v, u := p.build()
 	v.Author = a.Holding.Self.Name
 	if !u {
-		a.needed = time.Time{}
+		a.dueSince = time.Time{}
 		return d, false
 	}
-	if a.needed.IsZero() {
-		a.needed = n
+	if a.dueSince.IsZero() {
+		a.dueSince = n
 	}
-	return v, n.Sub(a.needed) >= time.Duration(a.rank(p.alive))*2*a.Every
+	return v, n.Sub(a.dueSince) >= time.Duration(a.rank(p.alive))*2*a.Every
 }
 
-// both returns the processes of a, and those of b whose name is not in a, in the
-// order of names.
-func both(a, b []holder.Holder) []holder.Holder {
+// unionByName returns the processes of a, and those of b whose name is not in
+// a, sorted by name.
+func unionByName(a, b []holder.Holder) []holder.Holder {
 	r := append([]holder.Holder(nil), a...)
 	m := make(map[string]bool, len(a))
 	for _, h := range a {
@@ -200,10 +211,11 @@
 	return r
 }
 
-// minority reports whether this host hears less than half of the holders, while
-// the platform still lists some of the others. Two sides of a cut that both
-// reach the table would else drop each other again and again.
-func (a *Author) minority(d division.Division, alive []holder.Holder, now time.Time) bool {
+// inMinority reports whether this host reaches less than half of the holders
+// while the platform still lists some of the others. Otherwise two sides of a
+// network partition that both reach the table would drop each other again and
+// again.
+func (a *Author) inMinority(d division.Division, alive []holder.Holder, now time.Time) bool {
 	m := make(map[holder.Holder]bool, len(alive))
 	for _, h := range alive {
 		m[h] = true
@@ -216,17 +228,17 @@
 			l = true
 		}
 	}
-	return 2*n < len(d.Holders) && l && now.Sub(a.changed) < minorityHolds*a.Holding.Hold
+	return 2*n < len(d.Holders) && l && now.Sub(a.epochChangedAt) < minorityWaitHolds*a.Holding.Hold
 }
 
-// rank is this host's place in the order of the alive hosts' names.
+// rank is the position of this host among the alive hosts sorted by name.
 func (a *Author) rank(l []holder.Holder) int {
 	return sort.Search(len(l), func(i int) bool { return l[i].Name >= a.Holding.Self.Name })
 }
 
-// released reports whether a failure domain has let go of its floors of epochs
-// before e.
-func (a *Author) released(domain string, e uint64, members []holder.Holder) bool {
+// floorsReleased reports whether a failure domain has stopped using its floors
+// of epochs before e.
+func (a *Author) floorsReleased(domain string, e uint64, members []holder.Holder) bool {
 	m := make(map[string]bool)
 	for _, h := range members {
 		if h.Domain == domain {
@@ -237,10 +249,11 @@
 	return len(m) == 0 || a.Holding.Moved(e, func(n string) bool { return m[n] })
 }
 
-func (a *Author) write(ctx context.Context, r row.Row, d division.Division) {
+// writeEpoch commits d as the successor of row r.
+func (a *Author) writeEpoch(ctx context.Context, r row.Row, d division.Division) {
 	b, err := codec.Marshal(d)
 	if err != nil {
-		a.Log.Error("division unwritable", "Error", err)
+		a.Log.Error("cannot encode division row", "Error", err)
 		return
 	}
 	t := a.Clock.Now()
@@ -249,7 +262,8 @@
 		Put:    []row.Row{{Key: division.RowKey, Value: b}},
 	})
 	if err != nil || !ok {
-		// If only the answer was lost, the next reading finds the epoch.
+		// If only the response was lost, the next read finds the epoch in the
+		// row.
 		return
 	}
 	a.Log.Info("division written", "Epoch", d.Epoch, "Holders", len(d.Holders), "Silent", len(d.Silent))
--- a/author/cut.go
+++ b/author/cut.go
@@ -13,77 +13,83 @@
 )
 
 const (
-	// SlotsPrefix starts the limits of backend servers' slots, by failure
-	// domain.
+	// SlotsPrefix is the prefix of limits for the slots of backend servers, by
+	// failure domain.
 	SlotsPrefix = "slots/"
-	// LinkPrefix starts the limits of links, by sending and receiving region.
+	// LinkPrefix is the prefix of limits for links, by sending and receiving
+	// region.
 	LinkPrefix = "link/"
 
-	// listedMost bounds the row: accounts beyond it use the default parts.
-	listedMost = 1000
-	// headroom is how much more than its demand a holder is given, so that
-	// the usual variation of requests does not empty its bucket.
-	headroom = 1.3
-	// idle is the part of the leased rest that is cut equally whatever the
-	// demand, so that a first request finds tokens.
-	idle = 0.1
-	// leastTokens is the least number of tokens worth holding.
-	leastTokens = 2
-	// minor is the moved part of a limit that is not worth an epoch.
-	minor = 0.05
-	// fragments is the number of spans beyond which a holder's are laid anew.
-	fragments = 8
+	// maxListedAccounts bounds the size of the row. Accounts beyond it use the
+	// default parts.
+	maxListedAccounts = 1000
+	// demandHeadroom is the factor by which the part of a holder exceeds its
+	// demand, so that the usual variation of requests does not empty its bucket.
+	demandHeadroom = 1.3
+	// equalShareFraction is the fraction of the leased remainder that is divided
+	// equally regardless of demand, so that the first request on a host finds
+	// tokens.
+	equalShareFraction = 0.1
+	// minTokens is the smallest number of tokens that is worth holding.
+	minTokens = 2
+	// minMovedFraction is the smallest fraction of a limit that is worth a new
+	// epoch when it moves between holders.
+	minMovedFraction = 0.05
+	// maxFragments is the number of spans above which the spans of a holder are
+	// assigned from scratch.
+	maxFragments = 8
 )
 
-// cut computes the parts of one limit.
-type cut struct {
-	plan  *plan
-	next  *division.Division
-	limit string
+// limitDivider computes the parts of one limit.
+type limitDivider struct {
+	builder *epochBuilder
+	next    *division.Division
+	limit   string
 }
 
 // parts returns the parts by holder name, and whether they differ enough from
-// the old ones to be worth an epoch of their own. Without force, parts that
+// the old ones to justify a new epoch by themselves. Without force, parts that
 // differ less stay as they are.
-func (c *cut) parts(force bool) (map[string]part.Part, bool) {
-	o := c.old()
-	if _, ok := c.plan.old.Parts[c.limit]; ok && !force && !c.plan.follow {
+func (c *limitDivider) parts(force bool) (map[string]part.Part, bool) {
+	o := c.oldParts()
+	if _, ok := c.builder.old.Parts[c.limit]; ok && !force && !c.builder.followDemand {
 		return o, false
 	}
 	r := make(map[string]part.Part)
-	v := c.free()
-	l := c.lengths(span.Length(v))
+	v := c.leasableSpans()
+	l := c.leasedLengths(span.Length(v))
 	m := 0.0
-	s := c.assign(v, l, func(n string) []span.Span { return o[n].Leased })
+	s := c.assignSpans(v, l, func(n string) []span.Span { return o[n].Leased })
 	for n, w := range s {
 		m += math.Abs(float64(span.Length(w)) - float64(span.Length(o[n].Leased)))
 		r[n] = part.Part{Leased: w}
 	}
 	m /= 2 * span.Whole
-	if !force && m < minor {
+	if !force && m < minMovedFraction {
 		return o, false
 	}
-	c.floors(r, o)
-	return r, m >= minor
+	c.addFloors(r, o)
+	return r, m >= minMovedFraction
 }
 
-// old returns the parts of the old epoch, also for a limit that it doesn't list.
-func (c *cut) old() map[string]part.Part {
-	if p, ok := c.plan.old.Parts[c.limit]; ok {
+// oldParts returns the parts of the old epoch, also for a limit that it does
+// not list.
+func (c *limitDivider) oldParts() map[string]part.Part {
+	if p, ok := c.builder.old.Parts[c.limit]; ok {
 		return p
 	}
 	r := make(map[string]part.Part)
-	for _, s := range [][]holder.Holder{c.plan.old.Holders, c.plan.old.Silent} {
+	for _, s := range [][]holder.Holder{c.builder.old.Holders, c.builder.old.Silent} {
 		for _, h := range s {
-			r[h.Name] = c.plan.old.Part(c.limit, h)
+			r[h.Name] = c.builder.old.Part(c.limit, h)
 		}
 	}
 	return r
 }
 
-// floors adds to each holder its cut of its failure domain's floor.
-func (c *cut) floors(r, o map[string]part.Part) {
-	for _, d := range c.domains(c.next.Floors) {
+// addFloors adds to each holder its part of the floor of its failure domain.
+func (c *limitDivider) addFloors(r, o map[string]part.Part) {
+	for _, d := range c.domainsWithFloor(c.next.Floors) {
 		var m []holder.Holder
 		for _, s := range [][]holder.Holder{c.next.Holders, c.next.Silent} {
 			for _, h := range s {
@@ -95,16 +101,16 @@
 		if len(m) == 0 {
 			continue
 		}
-		f := c.floor(d)
+		f := c.domainFloor(d)
 		l := make(map[string]uint32, len(m))
-		if span.Length(f)/uint32(len(m)) < c.quantum() {
+		if span.Length(f)/uint32(len(m)) < c.minPartLength() {
 			l[c.next.Chief(c.limit, d)] = span.Length(f)
 		} else {
 			for i, v := range span.Equal(f, len(m)) {
 				l[m[i].Name] = span.Length(v)
 			}
 		}
-		for n, w := range c.assign(f, l, func(n string) []span.Span { return o[n].Floor }) {
+		for n, w := range c.assignSpans(f, l, func(n string) []span.Span { return o[n].Floor }) {
 			p := r[n]
 			p.Floor = w
 			r[n] = p
@@ -112,34 +118,35 @@
 	}
 }
 
-// floor returns the region of a failure domain's floor: what is its own by the
-// new floors and nobody else's by the prior ones.
-func (c *cut) floor(domain string) []span.Span {
-	n := c.region(c.next.Floors, c.next.FloorFraction, domain)
+// domainFloor returns the floor of a failure domain: its spans by the new
+// floors, without those that the prior floors assign to other domains.
+func (c *limitDivider) domainFloor(domain string) []span.Span {
+	n := c.floorSpans(c.next.Floors, c.next.FloorFraction, domain)
 	for _, d := range c.next.PriorFloors {
 		if d != domain {
-			n = span.Subtract(n, c.region(c.next.PriorFloors, c.next.PriorFraction, d))
+			n = span.Subtract(n, c.floorSpans(c.next.PriorFloors, c.next.PriorFraction, d))
 		}
 	}
 	return n
 }
 
-// free returns the region of leased parts.
-func (c *cut) free() []span.Span {
+// leasableSpans returns the spans outside of all new and prior floors.
+func (c *limitDivider) leasableSpans() []span.Span {
 	r := []span.Span{{To: span.Whole}}
 	for _, d := range c.next.Floors {
-		r = span.Subtract(r, c.region(c.next.Floors, c.next.FloorFraction, d))
+		r = span.Subtract(r, c.floorSpans(c.next.Floors, c.next.FloorFraction, d))
 	}
 	for _, d := range c.next.PriorFloors {
-		r = span.Subtract(r, c.region(c.next.PriorFloors, c.next.PriorFraction, d))
+		r = span.Subtract(r, c.floorSpans(c.next.PriorFloors, c.next.PriorFraction, d))
 	}
 	return r
 }
 
-// region returns a failure domain's floor. Each begins at a place of its own, so
-// that another fraction makes it shorter or longer and moves none.
-func (c *cut) region(floors []string, fraction float64, domain string) []span.Span {
-	l := c.domains(floors)
+// floorSpans returns the floor of one of the failure domains in floors. The
+// floor of each domain begins at a fixed position, so that a change of the
+// fraction changes its length but does not move it.
+func (c *limitDivider) floorSpans(floors []string, fraction float64, domain string) []span.Span {
+	l := c.domainsWithFloor(floors)
 	for i, d := range l {
 		if f := uint32(i * span.Whole / len(l)); d == domain && fraction > 0 {
 			return []span.Span{{From: f, To: f + uint32(fraction*span.Whole/float64(len(l)))}}
@@ -148,8 +155,9 @@
 	return nil
 }
 
-// domains returns those of the failure domains that have a floor of the limit.
-func (c *cut) domains(l []string) []string {
+// domainsWithFloor returns the failure domains of l that have a floor of the
+// limit.
+func (c *limitDivider) domainsWithFloor(l []string) []string {
 	if d, ok := strings.CutPrefix(c.limit, SlotsPrefix); ok {
 		for _, v := range l {
 			if v == d {
@@ -172,8 +180,8 @@
 	return r
 }
 
-func (c *cut) regionOf(domain string) string {
-	for _, d := range c.plan.config.Domains {
+func (c *limitDivider) regionOf(domain string) string {
+	for _, d := range c.builder.config.Domains {
 		if d.Name == domain {
 			return d.Region
 		}
@@ -181,8 +189,8 @@
 	return ""
 }
 
-// users returns the holders that may get leased parts of the limit.
-func (c *cut) users() []holder.Holder {
+// eligibleHolders returns the holders that may get leased parts of the limit.
+func (c *limitDivider) eligibleHolders() []holder.Holder {
 	var a, b []holder.Holder
 	if d, ok := strings.CutPrefix(c.limit, SlotsPrefix); ok {
 		for _, h := range c.next.Holders {
@@ -193,8 +201,8 @@
 			}
 		}
 		if len(a) == 0 {
-			// The failure domain lost its last host: its backend servers
-			// must not stand idle until a replacement comes.
+			// The failure domain has no host left. Hosts of the same region
+			// use its backend servers until a replacement starts.
 			return b
 		}
 		return a
@@ -211,54 +219,54 @@
 	return c.next.Holders
 }
 
-// lengths returns how much of the leased region each user gets.
-func (c *cut) lengths(total uint32) map[string]uint32 {
-	u := c.users()
+// leasedLengths returns the length of the leased part of each eligible holder.
+func (c *limitDivider) leasedLengths(total uint32) map[string]uint32 {
+	u := c.eligibleHolders()
 	r := make(map[string]uint32, len(u))
 	if len(u) == 0 {
 		return r
 	}
-	d := c.plan.demand[c.limit]
+	d := c.builder.demand[c.limit]
 	s := 0.0
 	for _, h := range u {
 		s += d[h.Name]
 	}
-	if s == 0 && c.quantum() > 0 {
+	if s == 0 && c.minPartLength() > 0 {
 		r[c.next.Chief(c.limit, "")] = total
 		return r
 	}
 	for {
-		l := c.spread(float64(total), u, d)
+		l := c.distribute(float64(total), u, d)
 		m := 0
 		for i := range u {
 			if l[i] < l[m] {
 				m = i
 			}
 		}
-		if l[m] >= float64(c.quantum()) || len(u) == 1 {
+		if l[m] >= float64(c.minPartLength()) || len(u) == 1 {
 			for i, h := range u {
 				r[h.Name] = uint32(l[i])
 			}
 			return r
 		}
-		// Less than a whole token is of no use to its holder, and would be
-		// missing where requests come in or where others borrow.
+		// Less than one token is of no use to its holder, and would be missing
+		// where requests arrive or where other hosts borrow.
 		u = append(append([]holder.Holder(nil), u[:m]...), u[m+1:]...)
 	}
 }
 
-// spread divides total between users: first max-min fair by what they need
-// beyond their floor, the rest by demand.
-func (c *cut) spread(total float64, u []holder.Holder, d map[string]float64) []float64 {
-	e := idle * total / float64(len(u))
+// distribute divides total between the holders of u: first max-min fair by
+// their need beyond the floor, then the remainder by demand.
+func (c *limitDivider) distribute(total float64, u []holder.Holder, d map[string]float64) []float64 {
+	e := equalShareFraction * total / float64(len(u))
 	n := make([]float64, len(u))
 	s := 0.0
 	for i, h := range u {
-		f := float64(span.Length(c.floor(h.Domain))) / float64(c.members(h.Domain))
-		n[i] = max(d[h.Name]*headroom*span.Whole-f-e, 0)
+		f := float64(span.Length(c.domainFloor(h.Domain))) / float64(c.countHolders(h.Domain))
+		n[i] = max(d[h.Name]*demandHeadroom*span.Whole-f-e, 0)
 		s += d[h.Name]
 	}
-	t := (1 - idle) * total
+	t := (1 - equalShareFraction) * total
 	g := maxmin.Divide(t, n)
 	for _, v := range g {
 		t -= v
@@ -273,22 +281,22 @@
 	return g
 }
 
-// quantum is the length of the least part worth having: a few whole tokens of
-// an account's burst. Limits other than rates have none.
-func (c *cut) quantum() uint32 {
+// minPartLength is the length of the smallest part worth having: minTokens
+// tokens of the burst of an account. Limits other than rates have no minimum.
+func (c *limitDivider) minPartLength() uint32 {
 	n, ok := strings.CutPrefix(c.limit, division.RatePrefix)
 	if !ok {
 		return 0
 	}
-	for _, a := range c.plan.config.Accounts {
+	for _, a := range c.builder.config.Accounts {
 		if a.Name == n {
-			return uint32(min(leastTokens/max(a.Burst, 1), 1) * span.Whole)
+			return uint32(min(minTokens/max(a.Burst, 1), 1) * span.Whole)
 		}
 	}
 	return 0
 }
 
-func (c *cut) members(domain string) int {
+func (c *limitDivider) countHolders(domain string) int {
 	n := 0
 	for _, h := range c.next.Holders {
 		if h.Domain == domain {
@@ -298,15 +306,16 @@
 	return max(n, 1)
 }
 
-// assign lays lengths into a region so that holders keep what they have as far
-// as possible: only what really moves waits for a release.
-func (c *cut) assign(region []span.Span, lengths map[string]uint32, old func(n string) []span.Span) map[string][]span.Span {
+// assignSpans assigns spans of the given lengths from the available ones.
+// Holders keep the spans that they have as far as possible, since only spans
+// that move have to wait for their release.
+func (c *limitDivider) assignSpans(available []span.Span, lengths map[string]uint32, old func(n string) []span.Span) map[string][]span.Span {
 	r := make(map[string][]span.Span, len(lengths))
-	f := region
-	l := sorted(lengths)
+	f := available
+	l := sortedKeys(lengths)
 	for _, n := range l {
-		k := span.Intersect(old(n), region)
-		if len(k) > fragments {
+		k := span.Intersect(old(n), available)
+		if len(k) > maxFragments {
 			k = nil
 		}
 		k, _ = span.Split(k, lengths[n])
@@ -325,7 +334,7 @@
 	return r
 }
 
-func sorted(m map[string]uint32) []string {
+func sortedKeys(m map[string]uint32) []string {
 	r := make([]string, 0, len(m))
 	for n := range m {
 		r = append(r, n)
--- a/author/plan.go
+++ b/author/plan.go
@@ -10,53 +10,55 @@
 	"celeryreach.example/celeryreach/span"
 )
 
-// plan computes the epoch after old.
-type plan struct {
+// epochBuilder computes the epoch after old.
+type epochBuilder struct {
 	old    division.Division
 	config *config.Config
 	alive  []holder.Holder
 	demand map[string]map[string]float64
-	// follow tells that moved demand alone is reason for an epoch.
-	follow   bool
-	released func(domain string, epoch uint64, members []holder.Holder) bool
+	// followDemand reports whether a change of demand alone justifies a new
+	// epoch.
+	followDemand   bool
+	floorsReleased func(domain string, epoch uint64, members []holder.Holder) bool
 }
 
-// next returns the division that should follow and whether it differs enough
+// build returns the division that should follow, and whether it differs enough
 // from the old one to be written.
-func (p *plan) next() (division.Division, bool) {
-	n := division.Division{Epoch: p.old.Epoch + 1, Holders: p.alive, Silent: p.silent()}
-	u := p.old.Epoch == 0 || !same(p.old.Holders, n.Holders) || !same(p.old.Silent, n.Silent)
-	if p.floors(&n) {
+func (p *epochBuilder) build() (division.Division, bool) {
+	n := division.Division{Epoch: p.old.Epoch + 1, Holders: p.alive, Silent: p.silentHolders()}
+	u := p.old.Epoch == 0 || !equalHolders(p.old.Holders, n.Holders) || !equalHolders(p.old.Silent, n.Silent)
+	if p.updateFloors(&n) {
 		u = true
 	}
-	c := &cut{plan: p, next: &n, limit: division.RatePrefix}
-	n.LeasedSpans = c.free()
+	c := &limitDivider{builder: p, next: &n, limit: division.RatePrefix}
+	n.LeasedSpans = c.leasableSpans()
 	n.FloorSpans = make(map[string][]span.Span)
 	for _, d := range n.Floors {
-		n.FloorSpans[d] = c.floor(d)
+		n.FloorSpans[d] = c.domainFloor(d)
 	}
 	n.Parts = make(map[string]map[string]part.Part)
-	for _, l := range p.limits() {
-		c := &cut{plan: p, next: &n, limit: l}
+	for _, l := range p.listedLimits() {
+		c := &limitDivider{builder: p, next: &n, limit: l}
 		a, m := c.parts(u)
 		n.Parts[l] = a
 		u = u || m
 	}
 	if p.old.Epoch != 0 {
-		n.Earlier = append(p.old.Earlier, bare(p.old))
+		n.Earlier = append(p.old.Earlier, withoutEarlier(p.old))
 	}
 	return n, u
 }
 
-// silent returns the processes of failure domains in which nobody is heard.
-// They may run behind a cut, so their floor stays theirs.
-func (p *plan) silent() []holder.Holder {
+// silentHolders returns the processes of failure domains from which no
+// heartbeat is received. They keep their floor, since they may still run on the
+// other side of a network partition.
+func (p *epochBuilder) silentHolders() []holder.Holder {
 	d := make(map[string]bool)
 	for _, h := range p.alive {
 		d[h.Domain] = true
 	}
-	// A failure domain that left the configuration uses its floor until it is
-	// heard, so its processes stay named too.
+	// A failure domain that was removed from the configuration uses its floor
+	// until it can be reached, so its processes stay in the division too.
 	f := make(map[string]bool)
 	for _, s := range [][]string{p.old.Floors, p.old.PriorFloors} {
 		for _, v := range s {
@@ -75,25 +77,26 @@
 	return r
 }
 
-// floors sets the floors of n and reports whether they changed. A change takes
-// two epochs: floors first shrink to what old and new have in common, and what
-// a failure domain lost is given away only after it was heard to let go.
-func (p *plan) floors(n *division.Division) bool {
+// updateFloors sets the floors of n and reports whether they changed. A change
+// takes two epochs: floors first shrink to what the old and the new ones have
+// in common. The spans that a failure domain loses are given to others only
+// after the domain has reported that it no longer uses them.
+func (p *epochBuilder) updateFloors(n *division.Division) bool {
 	o := p.old
 	n.Floors, n.FloorFraction, n.FloorEpoch = o.Floors, o.FloorFraction, o.FloorEpoch
 	n.PriorFloors, n.PriorFraction = o.PriorFloors, o.PriorFraction
 	if len(o.PriorFloors) > 0 {
 		m := append(append([]holder.Holder(nil), o.Holders...), o.Silent...)
 		for _, d := range o.PriorFloors {
-			if !p.released(d, o.FloorEpoch, m) {
+			if !p.floorsReleased(d, o.FloorEpoch, m) {
 				return false
 			}
 		}
 		n.PriorFloors, n.PriorFraction = nil, 0
 		return true
 	}
-	f, w := p.wanted()
-	if w == o.FloorFraction && equal(f, o.Floors) {
+	f, w := p.configuredFloors()
+	if w == o.FloorFraction && equalStrings(f, o.Floors) {
 		return false
 	}
 	n.Floors, n.FloorFraction, n.FloorEpoch = f, w, n.Epoch
@@ -103,8 +106,9 @@
 	return true
 }
 
-// wanted returns the floors that the configuration asks for.
-func (p *plan) wanted() ([]string, float64) {
+// configuredFloors returns the failure domains with a floor and the floor
+// fraction according to the configuration.
+func (p *epochBuilder) configuredFloors() ([]string, float64) {
 	var f []string
 	for _, d := range p.config.Domains {
 		f = append(f, d.Name)
@@ -113,9 +117,9 @@
 	return f, p.config.InForce().FloorFraction
 }
 
-// limits returns the limits to list: accounts that have demand, slots and
-// links.
-func (p *plan) limits() []string {
+// listedLimits returns the limits to list in the row: accounts with demand,
+// slots and links.
+func (p *epochBuilder) listedLimits() []string {
 	s := make(map[string]bool)
 	a := make(map[string]bool, len(p.config.Accounts))
 	for _, v := range p.config.Accounts {
@@ -127,7 +131,7 @@
 		}
 	}
 	for l := range p.demand {
-		if a[l] && len(s) < listedMost {
+		if a[l] && len(s) < maxListedAccounts {
 			s[l] = true
 		}
 	}
@@ -145,13 +149,14 @@
 	return r
 }
 
-// bare returns d without what only the newest epoch needs.
-func bare(d division.Division) division.Division {
+// withoutEarlier returns d without the earlier epochs, which only the newest
+// epoch needs.
+func withoutEarlier(d division.Division) division.Division {
 	d.Earlier = nil
 	return d
 }
 
-func same(a, b []holder.Holder) bool {
+func equalHolders(a, b []holder.Holder) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -163,7 +168,7 @@
 	return true
 }
 
-func equal(a, b []string) bool {
+func equalStrings(a, b []string) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/division/division.go
+++ b/division/division.go
@@ -1,4 +1,4 @@
-// Package division describes the table row that cuts limits into parts.
+// Package division describes the table row that divides limits among hosts.
 package division
 
 import (
@@ -11,50 +11,54 @@
 	"celeryreach.example/celeryreach/span"
 )
 
-// RowKey is the key of the row.
+// RowKey is the key of the division row.
 const RowKey = "division"
 
-// RatePrefix starts the limits of client accounts' rate and burst.
+// RatePrefix is the prefix of limits for the rate and burst of client accounts.
 const RatePrefix = "rate/"
 
-// Division is one epoch of the row. It never changes once it is written.
+// Division is one epoch of the division row. It is immutable once written.
 type Division struct {
-	// Epoch is the number of the division.
+	// Epoch is the sequence number of the division.
 	Epoch uint64
-	// Author is the host that wrote it.
+	// Author is the name of the host that wrote it.
 	Author string
-	// Holders are the processes that hold leased parts. Every leased part is
-	// used only while most of them vouch for the epoch.
+	// Holders are the processes that hold leased parts. A leased part may be
+	// used only while a quorum of them confirms the epoch.
 	Holders []holder.Holder
-	// Silent are processes of failure domains from which nobody is heard. They
-	// keep their floor, since they may run behind a cut, and vouch for nothing.
+	// Silent are the processes of failure domains from which no heartbeat is
+	// received. They keep their floor, since they may still run on the other
+	// side of a network partition, but they do not confirm the epoch.
 	Silent []holder.Holder `json:",omitzero"`
-	// Parts are the parts by limit and holder name. The rate of an account that
-	// is not listed belongs whole to one holder, chosen by rendezvous hashing,
-	// and each failure domain's floor of it to one host there: tokens of a
-	// small burst are of use only where there is at least a whole one.
+	// Parts are the parts by limit and holder name. For an account that is not
+	// listed, one holder chosen by rendezvous hashing has the entire leased
+	// rate, and one host of each failure domain has the entire floor of that
+	// domain. Splitting a small burst further would leave holders with less than
+	// one token, which no request can use.
 	Parts map[string]map[string]part.Part
-	// FloorSpans are the failure domains' floors of each rate.
+	// FloorSpans are the floors of each failure domain, the same for every rate.
 	FloorSpans map[string][]span.Span
-	// LeasedSpans is the leased rest of each rate.
+	// LeasedSpans is the leased remainder of every rate.
 	LeasedSpans []span.Span
-	// Floors are the failure domains that have a floor.
+	// Floors are the failure domains that have a floor: a part of each limit
+	// that is permanently theirs.
 	Floors []string
-	// FloorFraction is the floors' part of each limit, 0..1.
+	// FloorFraction is the fraction of each limit that is used for floors, 0..1.
 	FloorFraction float64
 	// FloorEpoch is the epoch that last changed Floors or FloorFraction.
 	FloorEpoch uint64
-	// PriorFloors are the floors before FloorEpoch, until each of their
-	// failure domains is known to have let go of them.
+	// PriorFloors are the failure domains that had a floor before FloorEpoch.
+	// They are kept until each of them is known to have stopped using its prior
+	// floor.
 	PriorFloors []string `json:",omitzero"`
-	// PriorFraction is the fraction that belongs to PriorFloors.
+	// PriorFraction is the FloorFraction that applied to PriorFloors.
 	PriorFraction float64 `json:",omitzero"`
-	// Earlier are the epochs that may still be in use somewhere, oldest first.
-	// Nobody uses a leased part of an epoch before the first of them.
+	// Earlier are the epochs that some host may still use, oldest first. No host
+	// uses a leased part of an epoch before the first of them.
 	Earlier []Division `json:",omitzero"`
 }
 
-// Part returns what a holder has of a limit.
+// Part returns the part of a limit that h holds.
 func (d *Division) Part(limit string, h holder.Holder) part.Part {
 	if !d.Names(h) {
 		return part.Part{}
@@ -75,7 +79,7 @@
 	return p
 }
 
-// Leased returns what of a limit is leased to any holder.
+// Leased returns the spans of a limit that are leased to any holder.
 func (d *Division) Leased(limit string) []span.Span {
 	p, ok := d.Parts[limit]
 	if !ok && strings.HasPrefix(limit, RatePrefix) {
@@ -88,8 +92,9 @@
 	return r
 }
 
-// Chief returns the holder that rendezvous hashing chooses for a limit, among
-// those of a failure domain or, if that is empty, all that hold leased parts.
+// Chief returns the name of the holder that rendezvous hashing chooses for a
+// limit. The candidates are the processes of a failure domain, the silent ones
+// included, or, if domain is empty, all that hold leased parts.
 func (d *Division) Chief(limit, domain string) string {
 	n, m := "", uint64(0)
 	for i := range len(d.Holders) + len(d.Silent) {
@@ -109,8 +114,9 @@
 	return n
 }
 
-// score is the weight of a host for a limit. The sums are mixed, since sums of
-// the two hashes alone would order the hosts alike for many limits.
+// score is the rendezvous hashing weight of a host for a limit. The combined
+// hash is mixed again, since a plain combination of the two hashes would order
+// the hosts alike for many limits.
 func score(limit, name string) uint64 {
 	x := xxhash.Sum64String(limit) ^ xxhash.Sum64String(name)
 	x ^= x >> 33
@@ -120,24 +126,26 @@
 	return x ^ x>>33
 }
 
-// Names reports whether h has parts.
+// Names reports whether h holds parts in this division.
 func (d *Division) Names(h holder.Holder) bool {
 	return find(d.Holders, h) || find(d.Silent, h)
 }
 
-// Leases reports whether h holds leased parts and vouches for the epoch.
+// Leases reports whether h holds leased parts and confirms the epoch.
 func (d *Division) Leases(h holder.Holder) bool {
 	return find(d.Holders, h)
 }
 
-// UseQuorum is how many of the holders, the user included, must vouch for the
-// epoch. A single holder can have no witness and depends on the table.
+// UseQuorum is how many of the holders must confirm the epoch for one of them
+// to use it, the user included. It is at least two: a single holder has no
+// other process to confirm its epoch and depends on reading the table.
 func (d *Division) UseQuorum() int {
 	return max(len(d.Holders)/2+1, 2)
 }
 
-// ReleaseQuorum is how many of the holders must have moved on for Hold before
-// all use of the epoch has ended: any set of UseQuorum contains one of them.
+// ReleaseQuorum is how many of the holders must have moved to a later epoch for
+// Hold before all use of this epoch has ended. Any set of UseQuorum holders
+// contains at least one of them.
 func (d *Division) ReleaseQuorum() int {
 	return max(len(d.Holders)-d.UseQuorum()+1, 0)
 }
--- a/holding/history.go
+++ b/holding/history.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// marks bounds a history. Forgetting the oldest marks only makes waits longer.
-const marks = 64
+// maxHistoryEntries bounds a history. Dropping the oldest entries only makes
+// waits longer.
+const maxHistoryEntries = 64
 
-// history tells since when a process is known to be on an epoch or a later
-// one.
-type history []mark
+// history records since when a process is known to be on an epoch or a later
+// one, in ascending order of epochs.
+type history []historyEntry
 
-type mark struct {
+type historyEntry struct {
 	epoch uint64
 	at    time.Time
 }
 
-func (h *history) note(epoch uint64, now time.Time) {
+func (h *history) record(epoch uint64, now time.Time) {
 	if epoch <= h.last() {
 		return
 	}
-	*h = append(*h, mark{epoch: epoch, at: now})
-	if len(*h) > marks {
+	*h = append(*h, historyEntry{epoch: epoch, at: now})
+	if len(*h) > maxHistoryEntries {
 		*h = append(history(nil), (*h)[1:]...)
 	}
 }
@@ -31,7 +32,7 @@
 	return h[len(h)-1].epoch
 }
 
-// since returns when epoch or a later one was first known.
+// since returns when epoch or a later one first became known.
 func (h history) since(epoch uint64) (time.Time, bool) {
 	for _, m := range h {
 		if m.epoch >= epoch {
@@ -41,8 +42,9 @@
 	return time.Time{}, false
 }
 
-// span returns for how long epoch or a later one is known, negative if not.
-func (h history) span(epoch uint64, now time.Time) time.Duration {
+// timeSince returns how long epoch or a later one has been known. It is
+// negative if no such epoch is known.
+func (h history) timeSince(epoch uint64, now time.Time) time.Duration {
 	t, ok := h.since(epoch)
 	if !ok {
 		return -1
@@ -50,11 +52,11 @@
 	return now.Sub(t)
 }
 
-// peer is what is known of another process.
+// peer is the state kept for another process.
 type peer struct {
 	incarnation uint64
 	history     history
-	// sent is when the newest heartbeat was sent that the peer answered with
-	// an epoch not above this host's.
-	sent time.Time
+	// confirmedAt is the send time of the newest heartbeat that the peer
+	// answered with an epoch not above the epoch of this host.
+	confirmedAt time.Time
 }
--- a/holding/holding.go
+++ b/holding/holding.go
@@ -1,5 +1,5 @@
-// Package holding decides which part of each limit this host may use now. The
-// rule and its proof are docs/decisions/0001-limits.md.
+// Package holding decides which part of each limit this host may use at the
+// moment. The rule and its proof are in docs/decisions/0001-limits.md.
 package holding
 
 import (
@@ -17,61 +17,72 @@
 )
 
 const (
-	// drift is the margin, as a divisor, for clocks of different speed: with
-	// 2% on either side of a comparison two clocks may be 1% off each.
-	drift = 50
-	// paces is how often within Hold a process must show life, and within what
-	// part of Hold hosts of one failure domain hear each other.
-	paces = 3
+	// driftDivisor is the margin for clocks of different speed, as a divisor. A
+	// margin of 2% on either side of a comparison allows each of two clocks to
+	// be off by 1%.
+	driftDivisor = 50
+	// livenessDivisor divides Hold into the longest time between two ticks of a
+	// running process. Running hosts of one failure domain receive each other's
+	// heartbeats within that time too.
+	livenessDivisor = 3
 )
 
-// Holding follows the divisions and the other hosts' heartbeats.
+// Holding tracks the divisions and the epochs in the heartbeats of other hosts,
+// and derives from them what this host may use.
 type Holding struct {
-	// Clock is the host's monotonic clock.
+	// Clock is the monotonic clock of the host.
 	Clock clockwork.Clock
 	// Self is this process.
 	Self holder.Holder
-	// Hold is the silence after which a leased part may be taken.
+	// Hold is how long a holder must be silent before others may take its leased
+	// part.
 	Hold time.Duration
-	// StoreHold is how long leased parts last without any reading of the
+	// StoreHold is how long leased parts remain usable without any read of the
 	// table.
 	StoreHold time.Duration
-	// Every is the time between two ticks; well under a third of Hold.
+	// Every is the time between two ticks. It must be well under a third of
+	// Hold.
 	Every time.Duration
-	// Busy reports whether requests still run on slots that this host no
-	// longer has; nil means never. While they do, for Hold at most, the host
-	// doesn't report the epoch that took the slots.
+	// Busy reports whether requests still run on slots that this host no longer
+	// holds; nil means never. While it returns true, for at most Hold, the host
+	// does not report the epoch that took the slots away.
 	Busy func() bool
-	// Owed is how long what this host gave away for a time, such as loans, may
-	// be used after it stopped giving. It reports no epoch sooner.
+	// Owed is how long tokens that this host lent remain usable by the borrower
+	// after this host stopped lending. A new epoch is not reported before this
+	// time has passed.
 	Owed time.Duration
-	// Changing is called before what this host may use changes, while Grant
-	// still returns the old grants. It must not block.
+	// Changing is called before the part that this host may use changes, while
+	// Grant still returns the old grants. It must not block.
 	Changing func()
 
 	view atomic.Pointer[view]
 
 	mu sync.Mutex
-	// chain are the divisions that may matter, oldest first; the last one is
-	// this host's epoch.
-	chain []*division.Division
-	// settled is the lowest epoch that any user of leased parts may be on.
-	settled uint64
-	// floorSettled is the same for floors in the own failure domain, zero
-	// before the first.
-	floorSettled uint64
-	// told is since when this host reports an epoch; others rely on no more.
-	told    history
-	known   history
-	peers   map[string]*peer
-	read    time.Time // start of the newest reading of the current epoch
-	store   time.Time // start of the newest reading
-	learned time.Time // when the current epoch was learned
-	tick    time.Time
-	steady  time.Time // since when the process runs without a gap
+	// divisions are the divisions that some host may still use, oldest first.
+	// The last one is the epoch of this host.
+	divisions []*division.Division
+	// minLeasedEpoch is the lowest epoch of which any host may still use leased
+	// parts.
+	minLeasedEpoch uint64
+	// minFloorEpoch is the lowest epoch of which any host of this failure domain
+	// may still use a floor. It is zero until one is known.
+	minFloorEpoch uint64
+	// reportedEpochs records since when this host reports each epoch. Other
+	// hosts rely on reported epochs only.
+	reportedEpochs history
+	// knownEpochs records since when each epoch is known to exist, from the
+	// table or from any peer.
+	knownEpochs history
+	// peers are the other processes by host name.
+	peers          map[string]*peer
+	epochReadAt    time.Time // start of the newest table read that returned the current epoch
+	tableReadAt    time.Time // start of the newest table read
+	epochLearnedAt time.Time // when the current epoch became known
+	lastTick       time.Time
+	runningSince   time.Time // since when the process has run without a gap
 }
 
-// Run keeps the process's signs of life and lets waits end, until ctx ends.
+// Run calls Tick at every interval until ctx ends.
 func (h *Holding) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		h.Tick()
@@ -83,42 +94,43 @@
 	return nil
 }
 
-// Tick notes that the process runs. A gap between two ticks means that it was
-// paused: it cannot know what its failure domain did meanwhile.
+// Tick records that the process is running. A gap between two ticks means that
+// the process was paused and missed what the hosts of its failure domain did in
+// the meantime.
 func (h *Holding) Tick() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
-	if h.tick.IsZero() || n.Sub(h.tick) >= h.Hold/paces {
-		h.steady = n
+	if h.lastTick.IsZero() || n.Sub(h.lastTick) >= h.Hold/livenessDivisor {
+		h.runningSince = n
 	}
-	h.tick = n
-	h.settle(n)
+	h.lastTick = n
+	h.updateMinEpochs(n)
 	h.publish(n)
 }
 
-// Learn takes a division. Read is the moment before the reading of the table
-// that returned it, or zero when it came from a peer.
+// Learn takes a division. Read is the time just before the table read that
+// returned it, or zero if it came from a peer.
 func (h *Holding) Learn(d division.Division, read time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
 	e := h.epoch()
 	if d.Epoch > e {
-		h.extend(d, n)
+		h.advanceTo(d, n)
 	}
-	if d.Epoch >= e && read.After(h.store) {
-		h.read = read
+	if d.Epoch >= e && read.After(h.tableReadAt) {
+		h.epochReadAt = read
 	}
-	if read.After(h.store) {
-		h.store = read
+	if read.After(h.tableReadAt) {
+		h.tableReadAt = read
 	}
-	h.settle(n)
+	h.updateMinEpochs(n)
 	h.publish(n)
 }
 
 // Heard takes the epoch that a peer reports. Sent is when this host sent the
-// heartbeat that the peer answered, or zero when the peer began.
+// heartbeat that the peer answered, or zero if the peer started the exchange.
 func (h *Holding) Heard(name string, incarnation, epoch uint64, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -131,131 +143,134 @@
 		p = &peer{incarnation: incarnation}
 		h.peers[name] = p
 	}
-	p.history.note(epoch, n)
-	h.known.note(epoch, n)
-	if epoch <= h.epoch() && sent.After(p.sent) {
-		p.sent = sent
+	p.history.record(epoch, n)
+	h.knownEpochs.record(epoch, n)
+	if epoch <= h.epoch() && sent.After(p.confirmedAt) {
+		p.confirmedAt = sent
 	}
-	h.settle(n)
+	h.updateMinEpochs(n)
 	h.publish(n)
 }
 
-// Epoch returns the epoch that this host is on, for its heartbeats.
+// Epoch returns the epoch that this host is on.
 func (h *Holding) Epoch() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.epoch()
 }
 
-// Report returns the epoch to tell in a heartbeat. Telling it promises others
-// that this host uses nothing more that the epoch took from it, and that it
-// vouches for no earlier one from now on.
+// Report returns the epoch to send in a heartbeat. By sending it, this host
+// promises that it no longer uses anything that the epoch took away from it,
+// and that it no longer confirms any earlier epoch.
 func (h *Holding) Report() uint64 {
 	b := h.Busy != nil && h.Busy()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n, e := h.Clock.Now(), h.epoch()
-	if d := n.Sub(h.learned); b && d < h.Hold || e > 1 && d < h.Owed {
-		return h.told.last()
+	if d := n.Sub(h.epochLearnedAt); b && d < h.Hold || e > 1 && d < h.Owed {
+		return h.reportedEpochs.last()
 	}
-	h.told.note(e, n)
+	h.reportedEpochs.record(e, n)
 	return e
 }
 
-// Wanted returns the highest epoch that any peer reported.
+// Wanted returns the highest epoch known from the table or from any peer.
 func (h *Holding) Wanted() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.known.last()
+	return h.knownEpochs.last()
 }
 
-// Current returns the division of this host's epoch with the earlier ones that
-// may still be in use, and whether there is one.
+// Current returns the division of this host's epoch together with the earlier
+// ones that some host may still use. It returns false if there is none yet.
 func (h *Holding) Current() (division.Division, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.chain) == 0 {
+	if len(h.divisions) == 0 {
 		return division.Division{}, false
 	}
-	d := *h.chain[len(h.chain)-1]
-	for _, v := range h.chain[:len(h.chain)-1] {
-		if v.Epoch >= h.settled {
+	d := *h.divisions[len(h.divisions)-1]
+	for _, v := range h.divisions[:len(h.divisions)-1] {
+		if v.Epoch >= h.minLeasedEpoch {
 			d.Earlier = append(d.Earlier, *v)
 		}
 	}
 	return d, true
 }
 
-// Moved reports whether some process of a failure domain has been on epoch or
-// later for Hold, so that every process of it that runs has let go of the
-// floors of earlier epochs.
+// Moved reports whether some process of a failure domain, whose hosts are given
+// by of, has been on epoch or a later one for Hold. By then every running
+// process of the domain has stopped using the floors of earlier epochs.
 func (h *Holding) Moved(epoch uint64, of func(name string) bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
-	if of(h.Self.Name) && h.told.span(epoch, n) >= h.after(h.Hold) && h.steadyFor(n) {
+	if of(h.Self.Name) && h.reportedEpochs.timeSince(epoch, n) >= h.extendForDrift(h.Hold) && h.ranWithoutGap(n) {
 		return true
 	}
 	for k, p := range h.peers {
-		if of(k) && p.history.span(epoch, n) >= 2*h.after(h.Hold) {
+		if of(k) && p.history.timeSince(epoch, n) >= 2*h.extendForDrift(h.Hold) {
 			return true
 		}
 	}
 	return false
 }
 
-// Steady reports whether the process has run without a gap for Hold, so that
-// what it has not heard by now is silent.
+// Steady reports whether the process has run without a gap for Hold. If so, a
+// process from which nothing has been received by now is silent.
 func (h *Holding) Steady() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.steadyFor(h.Clock.Now())
+	return h.ranWithoutGap(h.Clock.Now())
 }
 
 // NeedsTable reports whether this host should read the table soon: it has no
-// division or an old one, was paused, or too few others vouch for what it has.
+// division or an outdated one, it was paused, or too few other holders confirm
+// its division.
 func (h *Holding) NeedsTable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
-	if len(h.chain) == 0 || h.known.last() > h.epoch() || !h.steadyFor(n) {
+	if len(h.divisions) == 0 || h.knownEpochs.last() > h.epoch() || !h.ranWithoutGap(n) {
 		return true
 	}
-	d := h.chain[len(h.chain)-1]
-	return d.Leases(h.Self) && n.Sub(h.vouched(d, n)) > h.Hold/2
+	d := h.divisions[len(h.divisions)-1]
+	return d.Leases(h.Self) && n.Sub(h.quorumConfirmedAt(d, n)) > h.Hold/2
 }
 
-// Grant returns this host's use of a limit.
+// Grant returns what this host may use of a limit.
 func (h *Holding) Grant(limit string) grant.Grant {
 	v := h.view.Load()
 	if v == nil {
 		return grant.Grant{Unknown: true}
 	}
-	return v.grant(v.uses.limit(limit))
+	return v.grant(v.usages.limit(limit))
 }
 
-// Rate returns this host's use of an account's rate and burst.
+// Rate returns what this host may use of the rate and burst of an account.
 func (h *Holding) Rate(account string) grant.Grant {
 	v := h.view.Load()
 	if v == nil {
 		return grant.Grant{Unknown: true}
 	}
-	return v.grant(v.uses.rate(account))
+	return v.grant(v.usages.rate(account))
 }
 
-// Part returns the fraction of a limit that this host may use now, in 0..1.
+// Part returns the fraction of a limit that this host may use at the moment, in
+// 0..1.
 func (h *Holding) Part(limit string) float64 {
 	return h.Grant(limit).Part(h.Clock.Now())
 }
 
-// Slots returns which of the total slots of a limit this host may use now.
-// Slot k belongs to whoever holds the middle of the k-th piece of the limit.
+// Slots returns which of the total slots of a limit this host may use at the
+// moment. The limit is split into total pieces of equal length, and slot k
+// belongs to the holder of the middle of piece k.
 func (h *Holding) Slots(limit string, total int) []int {
 	v := h.view.Load()
 	if v == nil {
 		return nil
 	}
-	u, n := v.uses.limit(limit), h.Clock.Now()
+	u, n := v.usages.limit(limit), h.Clock.Now()
 	var r []int
 	for k := range total {
 		m := uint32((2*k + 1) * span.Whole / (2 * total))
@@ -268,9 +283,9 @@
 	return r
 }
 
-// Valid reports whether this host may use anything now. It is asked again
-// right before a request leaves, since the process may have been paused after
-// it took a token or slot.
+// Valid reports whether this host may use anything at the moment. It is checked
+// again right before a request is forwarded, since the process may have been
+// paused after it took a token or a slot.
 func (h *Holding) Valid() bool {
 	v := h.view.Load()
 	n := h.Clock.Now()
@@ -278,18 +293,19 @@
 }
 
 func (h *Holding) epoch() uint64 {
-	if len(h.chain) == 0 {
+	if len(h.divisions) == 0 {
 		return 0
 	}
-	return h.chain[len(h.chain)-1].Epoch
+	return h.divisions[len(h.divisions)-1].Epoch
 }
 
-// before shortens a wait that a user of a part counts.
-func (h *Holding) before(d time.Duration) time.Duration {
-	return d - d/drift
+// shortenForDrift shortens a wait that is measured by the user of a part.
+func (h *Holding) shortenForDrift(d time.Duration) time.Duration {
+	return d - d/driftDivisor
 }
 
-// after lengthens a wait that a claimant of a part counts.
-func (h *Holding) after(d time.Duration) time.Duration {
-	return d + d/drift
+// extendForDrift lengthens a wait that is measured by a process that wants to
+// take over a part.
+func (h *Holding) extendForDrift(d time.Duration) time.Duration {
+	return d + d/driftDivisor
 }
--- a/holding/holding_test.go
+++ b/holding/holding_test.go
@@ -19,10 +19,11 @@
 	limit = "slots/d"
 )
 
-// The next division takes a slot on which a request still runs. If this host
-// reported it at once, the next owner would start a second request there and
-// the backend server would shed. So it reports when the request has ended, or
-// after Hold, since others wait for no longer.
+// The next division takes away a slot on which a request still runs. If this
+// host reported the new epoch at once, the next owner would start a second
+// request on the slot and the backend server would reject one. So the epoch is
+// reported when the request has ended, or after Hold, since others wait no
+// longer than that.
 func TestReportWaitsForRequests(t *testing.T) {
 	for _, ends := range []bool{true, false} {
 		c := clockwork.NewFakeClock()
@@ -46,7 +47,8 @@
 	}
 }
 
-// divide gives the one holder a leased part of some length.
+// divide returns a division with one holder and a leased part of the given
+// length.
 func divide(epoch uint64, h holder.Holder, length uint32) division.Division {
 	return division.Division{
 		Epoch: epoch, Holders: []holder.Holder{h},
--- a/holding/settle.go
+++ b/holding/settle.go
@@ -7,143 +7,149 @@
 	"celeryreach.example/celeryreach/holder"
 )
 
-// extend moves this host to the epoch of d.
-func (h *Holding) extend(d division.Division, now time.Time) {
-	o := h.chain
-	h.chain = nil
+// advanceTo moves this host to the epoch of d.
+func (h *Holding) advanceTo(d division.Division, now time.Time) {
+	o := h.divisions
+	h.divisions = nil
 	for _, v := range o {
 		if len(d.Earlier) == 0 || v.Epoch < d.Earlier[0].Epoch {
-			h.chain = append(h.chain, v)
+			h.divisions = append(h.divisions, v)
 		}
 	}
 	b := d.Epoch
 	for i := range d.Earlier {
 		v := d.Earlier[i]
 		b = min(b, v.Epoch)
-		h.chain = append(h.chain, &v)
+		h.divisions = append(h.divisions, &v)
 	}
 	d.Earlier = nil
-	h.chain = append(h.chain, &d)
-	// The author knew that nobody uses leased parts of an older epoch, and
-	// that stays true.
-	h.settled = max(h.settled, b)
+	h.divisions = append(h.divisions, &d)
+	// The author knew that no host uses leased parts of an epoch before b, and
+	// that remains true.
+	h.minLeasedEpoch = max(h.minLeasedEpoch, b)
 	if b == 1 {
-		h.floorSettled = max(h.floorSettled, 1)
+		h.minFloorEpoch = max(h.minFloorEpoch, 1)
 	}
-	h.learned = now
-	h.known.note(d.Epoch, now)
+	h.epochLearnedAt = now
+	h.knownEpochs.record(d.Epoch, now)
 }
 
-// settle finds the newest epochs that every user must have reached, and drops
-// what is older.
-func (h *Holding) settle(now time.Time) {
-	for i := len(h.chain) - 1; i >= 0 && h.chain[i].Epoch > h.settled; i-- {
-		if h.released(i, now) {
-			h.settled = h.chain[i].Epoch
+// updateMinEpochs raises minLeasedEpoch and minFloorEpoch to the newest epochs
+// that every user must have reached, and drops older divisions.
+func (h *Holding) updateMinEpochs(now time.Time) {
+	for i := len(h.divisions) - 1; i >= 0 && h.divisions[i].Epoch > h.minLeasedEpoch; i-- {
+		if h.leasedUseEnded(i, now) {
+			h.minLeasedEpoch = h.divisions[i].Epoch
 		}
 	}
-	for i := len(h.chain) - 1; i >= 0 && h.chain[i].Epoch > h.floorSettled; i-- {
-		if h.floorReleased(i, now) {
-			h.floorSettled = h.chain[i].Epoch
+	for i := len(h.divisions) - 1; i >= 0 && h.divisions[i].Epoch > h.minFloorEpoch; i-- {
+		if h.floorUseEnded(i, now) {
+			h.minFloorEpoch = h.divisions[i].Epoch
 		}
 	}
-	l := h.settled
-	if h.floorSettled != 0 {
-		l = min(l, h.floorSettled)
+	l := h.minLeasedEpoch
+	if h.minFloorEpoch != 0 {
+		l = min(l, h.minFloorEpoch)
 	}
-	for len(h.chain) > 1 && h.chain[0].Epoch < l {
-		h.chain = h.chain[1:]
+	for len(h.divisions) > 1 && h.divisions[0].Epoch < l {
+		h.divisions = h.divisions[1:]
 	}
 }
 
-// released reports whether all use of leased parts of the epochs before
-// chain[i] has ended.
-func (h *Holding) released(i int, now time.Time) bool {
-	k := h.chain[i].Epoch
-	w := h.known.span(k, now)
-	if w >= h.after(h.StoreHold) {
+// leasedUseEnded reports whether all use of leased parts of the epochs before
+// divisions[i] has ended.
+func (h *Holding) leasedUseEnded(i int, now time.Time) bool {
+	k := h.divisions[i].Epoch
+	w := h.knownEpochs.timeSince(k, now)
+	if w >= h.extendForDrift(h.StoreHold) {
 		return true
 	}
-	for _, d := range h.chain[:i] {
-		if d.Epoch < h.settled {
+	for _, d := range h.divisions[:i] {
+		if d.Epoch < h.minLeasedEpoch {
 			continue
 		}
-		if h.moved(d, k) {
+		if h.allHoldersReached(d, k) {
 			continue
 		}
-		// Somebody is still silent on d. Its use has ended when it can gather
-		// no quorum, and no reading of the table within Hold returned d.
-		if w < h.after(h.Hold) || h.witnesses(d, k, now) < d.ReleaseQuorum() {
+		// Some holder of d has not reported epoch k. It cannot use d any
+		// longer once it can gather no quorum for d, and no table read within
+		// the last Hold can have returned d.
+		if w < h.extendForDrift(h.Hold) || h.countHoldersPastHold(d, k, now) < d.ReleaseQuorum() {
 			return false
 		}
 	}
 	return true
 }
 
-// moved reports whether every holder of d has reported epoch k or later.
-func (h *Holding) moved(d *division.Division, k uint64) bool {
+// allHoldersReached reports whether every holder of d has reported epoch k or a
+// later one.
+func (h *Holding) allHoldersReached(d *division.Division, k uint64) bool {
 	for _, v := range d.Holders {
-		if v != h.Self && h.heard(v).last() < k {
+		if v != h.Self && h.historyOf(v).last() < k {
 			return false
 		}
 	}
 	return true
 }
 
-// witnesses counts the holders of d that have been on epoch k or later for
-// Hold.
-func (h *Holding) witnesses(d *division.Division, k uint64, now time.Time) int {
+// countHoldersPastHold counts the holders of d that have been on epoch k or a
+// later one for Hold.
+func (h *Holding) countHoldersPastHold(d *division.Division, k uint64, now time.Time) int {
 	n := 0
 	for _, v := range d.Holders {
-		s := h.heard(v)
+		s := h.historyOf(v)
 		if v == h.Self {
-			s = h.told
+			s = h.reportedEpochs
 		}
-		if s.span(k, now) >= h.after(h.Hold) {
+		if s.timeSince(k, now) >= h.extendForDrift(h.Hold) {
 			n++
 		}
 	}
 	return n
 }
 
-// floorReleased reports whether all use of floors of the own failure domain of
-// epochs before chain[i] has ended.
+// floorUseEnded reports whether all use of floors of this host's failure domain
+// from epochs before divisions[i] has ended.
 //
-// Hosts of one failure domain that run hear each other. So when this process
-// has run without a gap and on the epoch for Hold, whoever runs has heard of
-// it, and whoever was paused uses nothing until it has run for Hold.
-func (h *Holding) floorReleased(i int, now time.Time) bool {
-	k := h.chain[i].Epoch
-	if h.told.span(k, now) >= h.after(h.Hold) && h.steadyFor(now) {
+// Running hosts of one failure domain receive each other's heartbeats. So once
+// this process has been on the epoch for Hold and has run without a gap for
+// Hold, every running process of the domain knows the epoch, and a process that
+// was paused uses nothing until it has run for Hold.
+func (h *Holding) floorUseEnded(i int, now time.Time) bool {
+	k := h.divisions[i].Epoch
+	if h.reportedEpochs.timeSince(k, now) >= h.extendForDrift(h.Hold) && h.ranWithoutGap(now) {
 		return true
 	}
-	if h.floorSettled == 0 || h.chain[0].Epoch > h.floorSettled {
+	if h.minFloorEpoch == 0 || h.divisions[0].Epoch > h.minFloorEpoch {
 		return false
 	}
-	for _, d := range h.chain[:i] {
-		if d.Epoch >= h.floorSettled && (!h.siblingsMoved(d.Holders, k) || !h.siblingsMoved(d.Silent, k)) {
+	for _, d := range h.divisions[:i] {
+		if d.Epoch >= h.minFloorEpoch && (!h.domainPeersReached(d.Holders, k) || !h.domainPeersReached(d.Silent, k)) {
 			return false
 		}
 	}
 	return true
 }
 
-func (h *Holding) siblingsMoved(s []holder.Holder, k uint64) bool {
+// domainPeersReached reports whether all other processes of this host's failure
+// domain in s have reported epoch k or a later one.
+func (h *Holding) domainPeersReached(s []holder.Holder, k uint64) bool {
 	for _, v := range s {
-		if v.Domain == h.Self.Domain && v != h.Self && h.heard(v).last() < k {
+		if v.Domain == h.Self.Domain && v != h.Self && h.historyOf(v).last() < k {
 			return false
 		}
 	}
 	return true
 }
 
-func (h *Holding) steadyFor(now time.Time) bool {
-	return !h.tick.IsZero() && now.Sub(h.tick) < h.Hold/paces && now.Sub(h.steady) >= h.after(h.Hold)
+// ranWithoutGap reports whether the process has run without a gap for Hold.
+func (h *Holding) ranWithoutGap(now time.Time) bool {
+	return !h.lastTick.IsZero() && now.Sub(h.lastTick) < h.Hold/livenessDivisor && now.Sub(h.runningSince) >= h.extendForDrift(h.Hold)
 }
 
-// heard returns the history of a process, empty if that very process was never
-// heard.
-func (h *Holding) heard(v holder.Holder) history {
+// historyOf returns the epochs reported by a process. It is empty if nothing
+// has been received from that incarnation.
+func (h *Holding) historyOf(v holder.Holder) history {
 	p := h.peers[v.Name]
 	if p == nil || p.incarnation != v.Incarnation {
 		return nil
--- a/holding/view.go
+++ b/holding/view.go
@@ -11,43 +11,46 @@
 	"celeryreach.example/celeryreach/span"
 )
 
-// view is what the request path reads. Only its cache changes.
+// view is the state that the request path reads. It is immutable except for the
+// cache in usages.
 type view struct {
-	uses        *uses
-	epoch       uint64
-	settled     uint64
-	floor       uint64
-	floorSince  time.Time
-	floorUntil  time.Time
-	leasedSince time.Time
-	leasedUntil time.Time
-	unused      bool
-	unnamed     bool
+	usages         *usageCache
+	epoch          uint64
+	minLeasedEpoch uint64
+	minFloorEpoch  uint64
+	floorSince     time.Time
+	floorUntil     time.Time
+	leasedSince    time.Time
+	leasedUntil    time.Time
+	neverUsed      bool
+	notInDivision  bool
 }
 
-// uses computes this host's use of limits as they are asked for: of most
-// accounts a host has nothing and sees no request.
-type uses struct {
-	self    holder.Holder
-	chain   []*division.Division
-	settled uint64
-	floor   uint64
+// usageCache computes the part of a limit that this host may use on first
+// access and caches it. A host has no part of most accounts and receives no
+// requests for them.
+type usageCache struct {
+	self           holder.Holder
+	divisions      []*division.Division
+	minLeasedEpoch uint64
+	minFloorEpoch  uint64
 
 	mu     sync.RWMutex
-	limits map[string]*use
-	rates  map[string]*use
+	limits map[string]*usage
+	rates  map[string]*usage
 }
 
-// use is this host's part of one limit: lengths for rates, which move in any
-// amount, and spans for slots, of which each has one user.
-type use struct {
+// usage is the part of one limit that this host may use: fractions for rates,
+// which can be divided at any point, and spans for slots, each of which has
+// exactly one user.
+type usage struct {
 	floor       float64
 	leased      float64
 	floorSpans  []span.Span
 	leasedSpans []span.Span
 }
 
-func (u *uses) limit(limit string) *use {
+func (u *usageCache) limit(limit string) *usage {
 	u.mu.RLock()
 	v := u.limits[limit]
 	u.mu.RUnlock()
@@ -61,9 +64,9 @@
 	return v
 }
 
-// rate is limit for an account's rate, without joining the name at each
-// request.
-func (u *uses) rate(account string) *use {
+// rate is like limit for the rate of an account, but does not build the name of
+// the limit on each request.
+func (u *usageCache) rate(account string) *usage {
 	u.mu.RLock()
 	v := u.rates[account]
 	u.mu.RUnlock()
@@ -77,9 +80,10 @@
 	return v
 }
 
-// publish makes what this host may use now visible to the request path.
+// publish makes what this host may use at the moment visible to the request
+// path.
 func (h *Holding) publish(now time.Time) {
-	if len(h.chain) == 0 {
+	if len(h.divisions) == 0 {
 		return
 	}
 	o := h.view.Load()
@@ -87,17 +91,17 @@
 		o = &view{}
 	}
 	v := &view{
-		epoch: h.epoch(), settled: h.settled, floor: h.floorSettled, unused: h.epoch() == 1,
-		unnamed: !h.chain[len(h.chain)-1].Names(h.Self), floorSince: now, floorUntil: h.floorUntil(now), leasedSince: now, leasedUntil: h.leasedUntil(now),
+		epoch: h.epoch(), minLeasedEpoch: h.minLeasedEpoch, minFloorEpoch: h.minFloorEpoch, neverUsed: h.epoch() == 1,
+		notInDivision: !h.divisions[len(h.divisions)-1].Names(h.Self), floorSince: now, floorUntil: h.floorUntil(now), leasedSince: now, leasedUntil: h.leasedUntil(now),
 	}
 	g := false
-	if o.uses != nil && v.epoch == o.epoch && v.settled == o.settled && v.floor == o.floor {
-		v.uses = o.uses
-		g = v.renew(o, now)
+	if o.usages != nil && v.epoch == o.epoch && v.minLeasedEpoch == o.minLeasedEpoch && v.minFloorEpoch == o.minFloorEpoch {
+		v.usages = o.usages
+		g = v.continueGrants(o, now)
 	} else {
-		v.uses = &uses{
-			self: h.Self, chain: append([]*division.Division(nil), h.chain...), settled: h.settled, floor: h.floorSettled,
-			limits: make(map[string]*use), rates: make(map[string]*use),
+		v.usages = &usageCache{
+			self: h.Self, divisions: append([]*division.Division(nil), h.divisions...), minLeasedEpoch: h.minLeasedEpoch, minFloorEpoch: h.minFloorEpoch,
+			limits: make(map[string]*usage), rates: make(map[string]*usage),
 		}
 		g = true
 	}
@@ -107,16 +111,17 @@
 	h.view.Store(v)
 }
 
-func (v *view) grant(u *use) grant.Grant {
+func (v *view) grant(u *usage) grant.Grant {
 	return grant.Grant{
 		Floor: u.floor, FloorSince: v.floorSince, FloorUntil: v.floorUntil,
-		Leased: u.leased, LeasedSince: v.leasedSince, LeasedUntil: v.leasedUntil, Unused: v.unused, Unknown: v.unnamed,
+		Leased: u.leased, LeasedSince: v.leasedSince, LeasedUntil: v.leasedUntil, Unused: v.neverUsed, Unknown: v.notInDivision,
 	}
 }
 
-// renew continues the grants of o and reports whether one comes back after a
-// lapse. That is a new grant: its bucket must not refill for the time between.
-func (v *view) renew(o *view, now time.Time) bool {
+// continueGrants keeps the start times of the grants of o that have not lapsed,
+// and reports whether a lapsed grant is valid again. That counts as a new
+// grant: its bucket must not refill for the time in between.
+func (v *view) continueGrants(o *view, now time.Time) bool {
 	f, l := now.Before(o.floorUntil), now.Before(o.leasedUntil)
 	if f {
 		v.floorSince = o.floorSince
@@ -127,36 +132,36 @@
 	return !f && now.Before(v.floorUntil) || !l && now.Before(v.leasedUntil)
 }
 
-// leasedUntil returns when the leased parts of the current epoch end unless
-// more is heard: enough holders vouch for it, or the table does.
+// leasedUntil returns when the leased parts of the current epoch end, unless
+// enough holders or another table read confirm the epoch before.
 func (h *Holding) leasedUntil(now time.Time) time.Time {
-	d := h.chain[len(h.chain)-1]
-	if !d.Leases(h.Self) || h.store.IsZero() {
+	d := h.divisions[len(h.divisions)-1]
+	if !d.Leases(h.Self) || h.tableReadAt.IsZero() {
 		return time.Time{}
 	}
-	t := h.read
-	if v := h.vouched(d, now); v.After(t) {
+	t := h.epochReadAt
+	if v := h.quorumConfirmedAt(d, now); v.After(t) {
 		t = v
 	}
-	u := h.store.Add(h.before(h.StoreHold))
+	u := h.tableReadAt.Add(h.shortenForDrift(h.StoreHold))
 	if t.IsZero() {
 		return t
 	}
-	if e := t.Add(h.before(h.Hold)); e.Before(u) {
+	if e := t.Add(h.shortenForDrift(h.Hold)); e.Before(u) {
 		u = e
 	}
 	return u
 }
 
-// vouched returns the moment until which enough holders of d have vouched for
-// it, zero if too few ever did.
-func (h *Holding) vouched(d *division.Division, now time.Time) time.Time {
+// quorumConfirmedAt returns the latest time at which enough holders of d had
+// confirmed it, zero if too few ever did.
+func (h *Holding) quorumConfirmedAt(d *division.Division, now time.Time) time.Time {
 	var s []time.Time
 	for _, v := range d.Holders {
 		if v == h.Self {
 			s = append(s, now)
 		} else if p := h.peers[v.Name]; p != nil && p.incarnation == v.Incarnation {
-			s = append(s, p.sent)
+			s = append(s, p.confirmedAt)
 		}
 	}
 	sort.Slice(s, func(i, j int) bool { return s[i].After(s[j]) })
@@ -166,52 +171,54 @@
 	return time.Time{}
 }
 
-// floorUntil returns when the floor ends unless the process shows life.
+// floorUntil returns when the floor stops being usable, unless the process
+// ticks again before.
 func (h *Holding) floorUntil(now time.Time) time.Time {
 	e := h.epoch()
-	if h.floorSettled == 0 || !h.chain[len(h.chain)-1].Names(h.Self) {
+	if h.minFloorEpoch == 0 || !h.divisions[len(h.divisions)-1].Names(h.Self) {
 		return time.Time{}
 	}
-	if now.Sub(h.steady) < h.after(h.Hold) && h.read.Before(h.steady) {
+	if now.Sub(h.runningSince) < h.extendForDrift(h.Hold) && h.epochReadAt.Before(h.runningSince) {
 		return time.Time{}
 	}
-	t := h.tick.Add(h.Hold / paces)
-	if s, ok := h.known.since(e + 1); ok && s.Add(h.Hold/paces).Before(t) {
-		// A newer epoch exists and its content has not come yet.
-		t = s.Add(h.Hold / paces)
+	t := h.lastTick.Add(h.Hold / livenessDivisor)
+	if s, ok := h.knownEpochs.since(e + 1); ok && s.Add(h.Hold/livenessDivisor).Before(t) {
+		// A newer epoch exists, but its division has not been received yet.
+		t = s.Add(h.Hold / livenessDivisor)
 	}
 	return t
 }
 
-// compute returns what a host has in all epochs that somebody may be on: two
-// hosts that are on different epochs then have at least one in common.
-func (u *uses) compute(limit string) *use {
-	r := &use{leased: 1}
+// compute returns the intersection of this host's parts over all epochs that
+// some host may still use. Two hosts on different epochs then have at least one
+// epoch in common, so their parts do not overlap.
+func (u *usageCache) compute(limit string) *usage {
+	r := &usage{leased: 1}
 	w := []span.Span{{To: span.Whole}}
 	r.floorSpans, r.leasedSpans = w, w
-	for _, d := range u.chain {
+	for _, d := range u.divisions {
 		p := d.Part(limit, u.self)
-		if d.Epoch >= u.settled {
+		if d.Epoch >= u.minLeasedEpoch {
 			r.leased = min(r.leased, fraction(p.Leased))
 			r.leasedSpans = span.Intersect(r.leasedSpans, p.Leased)
 		}
-		if d.Epoch >= u.floor {
+		if d.Epoch >= u.minFloorEpoch {
 			r.floorSpans = span.Intersect(r.floorSpans, p.Floor)
 		}
-		if d.Epoch >= u.settled && d.FloorEpoch > u.chain[0].FloorEpoch || len(d.PriorFloors) > 0 || len(u.chain[0].PriorFloors) > 0 {
-			u.grown(r, limit)
+		if d.Epoch >= u.minLeasedEpoch && d.FloorEpoch > u.divisions[0].FloorEpoch || len(d.PriorFloors) > 0 || len(u.divisions[0].PriorFloors) > 0 {
+			u.subtractLeased(r, limit)
 		}
 	}
 	r.floor = fraction(r.floorSpans)
 	return r
 }
 
-// grown takes from a floor what was leased in an epoch that somebody may still
-// be on: a floor that grew may not be used before the users of leased parts
-// have let go.
-func (u *uses) grown(r *use, limit string) {
-	for _, d := range u.chain {
-		if d.Epoch >= u.settled {
+// subtractLeased removes from a floor the spans that were leased in an epoch
+// that some host may still use. A floor that grew may only be used after the
+// users of those leased parts have stopped.
+func (u *usageCache) subtractLeased(r *usage, limit string) {
+	for _, d := range u.divisions {
+		if d.Epoch >= u.minLeasedEpoch {
 			r.floorSpans = span.Subtract(r.floorSpans, d.Leased(limit))
 		}
 	}
