--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,5 +1,5 @@
-// Package lease holds a right that at most one host may have at a time, such
-// as the right to plan, by a row of the platform's table.
+// Package lease implements a lease that at most one host holds at a time, such
+// as the one for planning, by a row of the platform's table.
 package lease
 
 import (
@@ -16,21 +16,21 @@
 	"celeryreach.example/celeryreach/store"
 )
 
-// drift bounds how far the clocks of two hosts may differ in speed, as a
+// driftDivisor bounds how far the clocks of two hosts may differ in speed, as a
 // divisor: two clocks that are each off by 1% differ by about 2%.
-const drift = 50
+const driftDivisor = 50
 
-// renewals is how often a holder renews within one term, so that a few lost
-// answers do not cost the lease.
-const renewals = 4
+// renewalsPerTerm is how often a holder renews within one term, so that a few
+// lost responses do not cost the lease.
+const renewalsPerTerm = 4
 
-// Lease is the right named by one row. Holding is a hint for deciding whether
-// to work; what makes a write safe is Fence, since a holder can be paused
-// between Held and the write.
+// Lease is the lease named by one row. Held only hints at whether to work.
+// Writes are made safe by Fence, since a holder can be paused between Held and
+// the write.
 type Lease struct {
-	// Clock is the host's monotonic clock.
+	// Clock is the monotonic clock of the host.
 	Clock clockwork.Clock
-	// Platform holds the row.
+	// Platform is the store that holds the row.
 	Platform store.Store
 	// Name is the key of the row.
 	Name string
@@ -39,12 +39,12 @@
 	// Term is how long the lease lasts without renewal.
 	Term time.Duration
 
-	mu       sync.Mutex
-	own      claim
-	version  uint64
-	until    time.Time
-	observed row.Row
-	since    time.Time
+	mu         sync.Mutex
+	ownClaim   claim
+	ownVersion uint64
+	heldUntil  time.Time
+	observed   row.Row
+	observedAt time.Time
 }
 
 // claim is the content of the row.
@@ -52,39 +52,40 @@
 	Holder string
 	Epoch  uint64
 	Term   time.Duration
-	// Renewal makes each renewal a change that others see.
+	// Renewal increases with each renewal, so that other hosts see a changed
+	// row.
 	Renewal uint64
 }
 
-// Run takes and renews the lease until ctx ends.
+// Run acquires and renews the lease until ctx ends.
 func (l *Lease) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		l.Step(ctx)
 		select {
 		case <-ctx.Done():
-		case <-l.Clock.After(l.Term / renewals):
+		case <-l.Clock.After(l.Term / renewalsPerTerm):
 		}
 	}
 	return nil
 }
 
-// Held returns the epoch of the lease and whether this host holds it now, by
-// its own monotonic clock with a margin.
+// Held returns the epoch of the lease and whether this host holds it at the
+// moment, by its own monotonic clock with a margin.
 func (l *Lease) Held() (epoch uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.own.Epoch, l.version != 0 && l.Clock.Now().Before(l.until)
+	return l.ownClaim.Epoch, l.ownVersion != 0 && l.Clock.Now().Before(l.heldUntil)
 }
 
-// Fence makes c depend on the lease: the commit is refused if another host has
-// taken the lease since, however long this one was paused.
+// Fence makes c depend on the lease. The commit is refused if another host has
+// acquired the lease since, no matter how long this one was paused.
 //
-// The row changes with each renewal too, so a commit that races this host's
-// own renewal is refused and must be tried again.
+// The row also changes with each renewal, so a commit that races a renewal by
+// this host is refused and must be retried.
 func (l *Lease) Fence(c commit.Commit) commit.Commit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v := l.version
+	v := l.ownVersion
 	if v == 0 {
 		// Version zero would expect an absent row and let the commit pass.
 		v = ^uint64(0)
@@ -93,16 +94,16 @@
 	return c
 }
 
-// Step reads the row and renews or takes the lease when it may. A failed call
-// changes nothing: the lease then lapses by itself.
+// Step reads the row and renews or acquires the lease if this host may do so. A
+// failed call changes nothing; without a later renewal, the lease expires.
 func (l *Lease) Step(ctx context.Context) {
-	x, f := clockwork.WithTimeout(ctx, l.Clock, l.Term/renewals)
+	x, f := clockwork.WithTimeout(ctx, l.Clock, l.Term/renewalsPerTerm)
 	defer f()
 	r, err := l.Platform.Read(x, l.Name)
 	if err != nil {
 		return
 	}
-	c, ok, err := l.next(r)
+	c, ok, err := l.nextClaim(r)
 	if err != nil || !ok {
 		return
 	}
@@ -116,48 +117,51 @@
 		Put:    []row.Row{{Key: l.Name, Value: b}},
 	})
 	if err != nil || !ok {
-		// A lost answer is settled by the next read, which finds the own
+		// If only the response was lost, the next read finds this host's own
 		// claim in the row.
 		return
 	}
-	l.hold(c, r.Version+1, t)
+	l.recordAcquired(c, r.Version+1, t)
 }
 
-// next returns the claim to write after r, if this host may write one.
-func (l *Lease) next(r row.Row) (claim, bool, error) {
+// nextClaim returns the claim to write after r, if this host may write one.
+func (l *Lease) nextClaim(r row.Row) (claim, bool, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := l.Clock.Now()
 	if r.Version != l.observed.Version {
 		l.observed = r
-		l.since = n
+		l.observedAt = n
 	}
 	if r.Version == 0 {
 		return claim{Holder: l.Holder, Epoch: 1, Term: l.Term}, true, nil
 	}
 	var o claim
 	if err := codec.Unmarshal(r.Value, &o); err != nil {
-		return o, false, errors.Wrap(err, "lease")
+		return o, false, errors.Wrap(err, "decode lease row")
 	}
 	if o.Holder == l.Holder {
-		// Renewing our own claim is safe however late: nobody else has
-		// written since, and the commit expects just that.
+		// It is safe to renew the own claim at any time: no other host has
+		// written since, and the commit expects exactly that.
 		return claim{Holder: l.Holder, Epoch: o.Epoch, Term: l.Term, Renewal: o.Renewal + 1}, true, nil
 	}
-	// The holder counts from before its commit, we from after we saw it; the
-	// margin covers clocks of different speed.
-	if n.Sub(l.since) < o.Term+o.Term/drift {
+	// The holder counts the term from before its commit, and this host counts
+	// from when it observed the row. The margin covers clocks of different
+	// speed.
+	if n.Sub(l.observedAt) < o.Term+o.Term/driftDivisor {
 		return o, false, nil
 	}
 	return claim{Holder: l.Holder, Epoch: o.Epoch + 1, Term: l.Term}, true, nil
 }
 
-func (l *Lease) hold(c claim, version uint64, sent time.Time) {
+// recordAcquired records a claim that was committed. Sent is the time just
+// before the commit.
+func (l *Lease) recordAcquired(c claim, version uint64, sent time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.own = c
-	l.version = version
-	l.until = sent.Add(l.Term - l.Term/drift)
+	l.ownClaim = c
+	l.ownVersion = version
+	l.heldUntil = sent.Add(l.Term - l.Term/driftDivisor)
 	l.observed = row.Row{Key: l.Name, Version: version}
-	l.since = sent
+	l.observedAt = sent
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -21,13 +21,13 @@
 
 var errLost = errors.New("lost")
 
-// rivals are processes that want one lease. Each has a clock of its own.
+// rivals are processes that compete for one lease. Each has its own clock.
 type rivals struct {
-	table  table.Table
-	leases map[string]*rival
-	out    bool
-	lose   bool
-	fenced map[string]commit.Commit
+	table         table.Table
+	leases        map[string]*rival
+	storeDown     bool
+	loseResponses bool
+	fenced        map[string]commit.Commit
 }
 
 type rival struct {
@@ -37,8 +37,8 @@
 	run   bool
 }
 
-// Each file of testdata is one scenario. Its first lines tell who believes
-// what, what happens in what order, and why.
+// Each file of testdata is one scenario. Its first lines describe the state of
+// each process, the order of events, and the expected result.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
@@ -52,13 +52,13 @@
 	})
 }
 
-func on(ts *testscript.TestScript) *rivals {
+func rivalsOf(ts *testscript.TestScript) *rivals {
 	return ts.Value("rivals").(*rivals)
 }
 
 // process NAME [fast|slow] starts a process.
 func process(ts *testscript.TestScript, _ bool, a []string) {
-	r := on(ts)
+	r := rivalsOf(ts)
 	v := &rival{clock: clockwork.NewFakeClock(), speed: 1, run: true}
 	if len(a) > 1 {
 		v.speed = map[string]float64{"fast": 1.01, "slow": 0.99}[a[1]]
@@ -68,29 +68,29 @@
 }
 
 func (r *rivals) read(_ context.Context, key string) (row.Row, error) {
-	if r.out {
+	if r.storeDown {
 		return row.Row{}, errLost
 	}
 	return r.table.Read(key), nil
 }
 
 func (r *rivals) commit(_ context.Context, c commit.Commit) (bool, error) {
-	if r.out {
+	if r.storeDown {
 		return false, errLost
 	}
 	ok := r.table.Commit(c)
-	if r.lose {
+	if r.loseResponses {
 		return false, errLost
 	}
 	return ok, nil
 }
 
-// step DURATION NAME... lets time pass for all; the named processes work every
-// two seconds of it.
+// step DURATION NAME... advances the time of all processes; the named processes
+// call Step every two seconds.
 func step(ts *testscript.TestScript, _ bool, a []string) {
 	d, err := time.ParseDuration(a[0])
 	ts.Check(err)
-	r := on(ts)
+	r := rivalsOf(ts)
 	for t := time.Duration(0); t < d; t += term / 4 {
 		for _, n := range a[1:] {
 			if v := r.leases[n]; v.run {
@@ -103,41 +103,41 @@
 	}
 }
 
-// pause NAME stops a process or lets it go on; its clock always goes on.
+// pause NAME pauses or resumes a process. Its clock keeps running.
 func pause(ts *testscript.TestScript, _ bool, a []string) {
-	v := on(ts).leases[a[0]]
+	v := rivalsOf(ts).leases[a[0]]
 	v.run = !v.run
 }
 
 // held NAME EPOCH checks that a process holds the lease.
 func held(ts *testscript.TestScript, neg bool, a []string) {
-	e, ok := on(ts).leases[a[0]].Held()
+	e, ok := rivalsOf(ts).leases[a[0]].Held()
 	if (ok && string(rune('0'+e)) == a[1]) == neg {
 		ts.Fatalf("%s: epoch %d, held %v", a[0], e, ok)
 	}
 }
 
-// fence NAME prepares a write of that process, and write NAME sends it.
+// fence NAME prepares a write of that process, and write NAME commits it.
 func fence(ts *testscript.TestScript, _ bool, a []string) {
-	r := on(ts)
+	r := rivalsOf(ts)
 	r.fenced[a[0]] = r.leases[a[0]].Fence(commit.Commit{Put: []row.Row{{Key: "plan", Value: []byte(a[0])}}})
 }
 
 func write(ts *testscript.TestScript, neg bool, a []string) {
-	r := on(ts)
+	r := rivalsOf(ts)
 	if r.table.Commit(r.fenced[a[0]]) == neg {
 		ts.Fatalf("the write of %s: refused %v", a[0], !neg)
 	}
 }
 
-// store out|in|lose|answer sets what happens to calls of the table.
+// store out|in|lose|answer sets the result of calls to the table.
 func storeKnob(ts *testscript.TestScript, _ bool, a []string) {
-	r := on(ts)
-	r.out = a[0] == "out"
-	r.lose = a[0] == "lose"
+	r := rivalsOf(ts)
+	r.storeDown = a[0] == "out"
+	r.loseResponses = a[0] == "lose"
 }
 
-// A process that never held the lease must not pass its fence: an absent row
+// A process that never held the lease must not pass its fence. An absent row
 // has version zero, which a commit could expect by mistake.
 func TestFenceWithoutLease(t *testing.T) {
 	l := &lease.Lease{Clock: clockwork.NewFakeClock(), Name: "planner", Term: term}
--- a/quota/entry.go
+++ b/quota/entry.go
@@ -9,62 +9,70 @@
 	"celeryreach.example/celeryreach/grant"
 )
 
-// never is a wait that no request can afford.
-const never = time.Minute
+// unaffordableWait stands for a wait that is longer than any request can
+// afford.
+const unaffordableWait = time.Minute
 
-// unknownPoll is how often requests look for a part at a host that starts, and
-// unknownMost how many may wait for it.
 const (
-	unknownPoll = 50 * time.Millisecond
-	unknownMost = 100
+	// unknownGrantPoll is how often waiting requests check whether a host that
+	// is starting has a part.
+	unknownGrantPoll = 50 * time.Millisecond
+	// maxUnknownGrantWaiters is how many requests may wait for that part.
+	maxUnknownGrantWaiters = 100
 )
 
-// entry is this host's state of one account.
+// entry is the state of one account on this host.
 type entry struct {
-	name    string
-	bucket  bucket.Bucket
-	last    time.Time
-	rate    float64 // the account's rate when last refilled
-	refills float64 // tokens per second that this host gets now
-	waiting int
-	// unknown tells that this host has no part yet, but may have one soon.
-	unknown bool
-	// offered counts requests, admitted or not, since the last Demands.
+	name       string
+	bucket     bucket.Bucket
+	lastRefill time.Time
+	rate       float64 // the account's rate when last refilled
+	refillRate float64 // tokens per second that this host gets now
+	waiting    int
+	// grantUnknown is true while this host has no part yet but may get one soon.
+	grantUnknown bool
+	// offered counts requests, admitted or not, since the last call of Demands.
 	offered uint64
 	demand  float64
-	// borrowed tokens are for requests that wait, until borrowedUntil.
+	// borrowed is the number of tokens for waiting requests that are usable
+	// until borrowedUntil.
 	borrowed      int
 	borrowedUntil time.Time
-	// pending tokens are asked for and not yet answered.
-	pending int
-	// dry is until when no other host is asked, since none had tokens.
-	dry  time.Time
-	lent []debt
+	// requested is the number of tokens of loan requests that are not answered
+	// yet.
+	requested int
+	// noLenderUntil is the time until which no tokens are borrowed, since no
+	// other host had any.
+	noLenderUntil time.Time
+	// loans are the loans that this host has given.
+	loans []givenLoan
 }
 
-// debt is a part of the bucket that is closed until the borrower can no longer
-// spend its tokens.
-type debt struct {
+// givenLoan is the part of the bucket that stays unavailable until the borrower
+// can no longer spend its tokens.
+type givenLoan struct {
 	units uint64
 	until time.Time
 }
 
-// refill adds the tokens for the time in which each part of the grant held.
+// refill adds the tokens for the time in which each part of the grant was
+// valid.
 func (e *entry) refill(now time.Time, a account.Account, g grant.Grant) {
 	r := min(e.rate, a.Rate)
-	r -= r / drift
-	e.bucket.Limit(max(a.Burst*g.Part(now)-e.closed(now), 0))
-	e.bucket.Gain(r*g.Floor, overlap(e.last, now, g.FloorSince, g.FloorUntil))
-	e.bucket.Gain(r*g.Leased, overlap(e.last, now, g.LeasedSince, g.LeasedUntil))
-	e.unknown = g.Unknown
-	e.refills = r * g.Part(now)
+	r -= r / driftDivisor
+	e.bucket.Limit(max(a.Burst*g.Part(now)-e.lentTokens(now), 0))
+	e.bucket.Gain(r*g.Floor, overlap(e.lastRefill, now, g.FloorSince, g.FloorUntil))
+	e.bucket.Gain(r*g.Leased, overlap(e.lastRefill, now, g.LeasedSince, g.LeasedUntil))
+	e.grantUnknown = g.Unknown
+	e.refillRate = r * g.Part(now)
 	e.rate = a.Rate
-	if now.After(e.last) {
-		e.last = now
+	if now.After(e.lastRefill) {
+		e.lastRefill = now
 	}
 }
 
-// take takes a token, a borrowed one first since it cannot be kept.
+// take takes a token. A borrowed one is used first, since it cannot be kept for
+// later.
 func (e *entry) take(now time.Time) bool {
 	if e.borrowed > 0 && now.Before(e.borrowedUntil) {
 		e.borrowed--
@@ -73,54 +81,56 @@
 	return e.bucket.TakeMany(1)
 }
 
-// coming returns how many tokens requests that wait will have besides those of
-// the bucket.
-func (e *entry) coming(now time.Time) int {
+// expectedTokens returns how many tokens waiting requests will have in addition
+// to those of the bucket.
+func (e *entry) expectedTokens(now time.Time) int {
 	if now.Before(e.borrowedUntil) {
-		return e.borrowed + e.pending
+		return e.borrowed + e.requested
 	}
-	return e.pending
+	return e.requested
 }
 
-// answer returns when a request that waits looks again for borrowed tokens.
-func (e *entry) answer(now time.Time) time.Duration {
-	if e.unknown {
-		return unknownPoll
+// pollDelay returns when a waiting request checks again for borrowed tokens.
+func (e *entry) pollDelay(now time.Time) time.Duration {
+	if e.grantUnknown {
+		return unknownGrantPoll
 	}
-	if e.coming(now) > 0 || !now.Before(e.dry) {
-		return borrowPoll
+	if e.expectedTokens(now) > 0 || !now.Before(e.noLenderUntil) {
+		return borrowPollInterval
 	}
-	return e.dry.Sub(now) + borrowPoll
+	return e.noLenderUntil.Sub(now) + borrowPollInterval
 }
 
-// ready returns the time until the bucket can have n tokens.
-func (e *entry) ready(n float64) time.Duration {
+// timeUntilTokens returns the time until the bucket can have n tokens.
+func (e *entry) timeUntilTokens(n float64) time.Duration {
 	w := n - e.bucket.Tokens()
 	if w <= 0 {
 		return 0
 	}
-	if e.refills <= 0 || n > e.bucket.Capacity() && e.waiting == 0 {
-		return never
+	if e.refillRate <= 0 || n > e.bucket.Capacity() && e.waiting == 0 {
+		return unaffordableWait
 	}
-	// Rounded up, so that a waiter who wakes finds the token.
-	return min(time.Duration(math.Ceil(w/e.refills*float64(time.Second)))+time.Microsecond, never)
+	// The wait is rounded up, so that a request that wakes up finds the token.
+	return min(time.Duration(math.Ceil(w/e.refillRate*float64(time.Second)))+time.Microsecond, unaffordableWait)
 }
 
-// closed returns how many tokens of the burst are lent, and forgets loans that
-// have ended.
-func (e *entry) closed(now time.Time) float64 {
+// lentTokens returns how many tokens of the burst are lent, and drops loans
+// that have ended.
+func (e *entry) lentTokens(now time.Time) float64 {
 	n := uint64(0)
-	k := e.lent[:0]
-	for _, d := range e.lent {
+	k := e.loans[:0]
+	for _, d := range e.loans {
 		if now.Before(d.until) {
 			n += d.units
 			k = append(k, d)
 		}
 	}
-	e.lent = k
+	e.loans = k
 	return float64(n)
 }
 
+// overlap returns how much of from..to lies within since..until. It is negative
+// if there is no overlap.
 func overlap(from, to, since, until time.Time) time.Duration {
 	if since.After(from) {
 		from = since
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -22,10 +22,11 @@
 	"celeryreach.example/celeryreach/staleness"
 )
 
-// Callers of one account send as fast as they can to all hosts of a deployment
-// with real sockets, while a host is killed and replaced and the domains are
-// cut off from each other. Over the whole time no more requests may run than
-// burst and rate allow, and callers must go on being served.
+// Callers of one account send requests as fast as possible to all hosts of a
+// deployment with real sockets, while a host is killed and replaced and a
+// network partition separates the failure domains. During the complete test no
+// more requests may run than burst and rate allow, and requests must continue to
+// be served.
 func TestFleetKeepsRate(t *testing.T) {
 	const rate, burst, callers = 30, 20, 2
 	c := clockwork.NewRealClock()
--- a/quota/lent.go
+++ b/quota/lent.go
@@ -1,6 +1,6 @@
 package quota
 
-// Lent returns how many tokens of an account other hosts have on loan now.
+// Lent returns how many tokens of an account are currently lent to other hosts.
 func (q *Quota) Lent(name string) uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -10,7 +10,7 @@
 	}
 	n := q.Clock.Now()
 	var u uint64
-	for _, d := range e.lent {
+	for _, d := range e.loans {
 		if n.Before(d.until) {
 			u += d.units
 		}
--- a/quota/lent_test.go
+++ b/quota/lent_test.go
@@ -12,7 +12,8 @@
 	"celeryreach.example/celeryreach/quota"
 )
 
-// Lent tells what is on loan until the loan's deadline has surely passed.
+// Lent includes a loan until its deadline has passed, including the margin for
+// clocks of different speed.
 func TestLent(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	q := &quota.Quota{
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -7,86 +7,94 @@
 )
 
 const (
-	// borrowAfter is the wait that is worth a round trip to another host.
-	borrowAfter = 20 * time.Millisecond
-	// borrowMost bounds one ask.
-	borrowMost = 16
-	// borrowPoll is how often requests that wait look for borrowed tokens.
-	borrowPoll = 10 * time.Millisecond
-	// dryFor is how long nobody is asked after nobody had tokens.
-	dryFor = 100 * time.Millisecond
-	// lendKeep is the part of its bucket that a lender keeps for itself at
-	// most, and lendKeepFor the time of its own demand that it provides for.
-	lendKeep    = 0.25
-	lendKeepFor = 0.2
-	// loanMargin is added by the lender, as a divisor of the loan's time, for
-	// clocks of different speed.
-	loanMargin = 50
+	// minBorrowWait is the shortest wait that justifies a round trip to another
+	// host.
+	minBorrowWait = 20 * time.Millisecond
+	// maxRequestedTokens bounds the tokens of an account that are requested from
+	// other hosts at once.
+	maxRequestedTokens = 16
+	// borrowPollInterval is how often waiting requests check for borrowed
+	// tokens.
+	borrowPollInterval = 10 * time.Millisecond
+	// noLenderBackoff is how long borrowing pauses after no other host had
+	// tokens.
+	noLenderBackoff = 100 * time.Millisecond
+	// maxReserveFraction limits what a lender keeps for itself, as a fraction of
+	// its bucket. Below that, it keeps the tokens for its own demand over
+	// reserveSeconds.
+	maxReserveFraction = 0.25
+	reserveSeconds     = 0.2
+	// loanMarginDivisor sets the margin for clocks of different speed that the
+	// lender adds to a loan, as a divisor of its duration.
+	loanMarginDivisor = 50
 )
 
 // Lend gives tokens to another host and returns how many and for how long. They
-// are gone from here before the answer is sent, and until the loan has ended
-// their place in the bucket stays closed: else lent and refilled tokens together
-// would exceed the burst. A loan ends before the part that it comes from may.
+// are deducted before the response is sent, and their place in the bucket stays
+// unavailable until the loan has ended. Otherwise lent and refilled tokens
+// together would exceed the burst. A loan ends before the part that it comes
+// from can end.
 func (q *Quota) Lend(name string, units uint64, d time.Duration) (uint64, time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n := q.Clock.Now()
-	e, ok := q.touch(name, n)
+	e, ok := q.refreshedEntry(name, n)
 	if !ok || e.waiting > 0 {
 		return 0, 0
 	}
 	a, _ := q.Account(name)
 	g := q.Grant(name)
-	d = min(d, lasts(g, n))
-	s := e.bucket.Tokens() - min(lendKeep*a.Burst*g.Part(n), lendKeepFor*e.demand)
+	d = min(d, remainingTime(g, n))
+	s := e.bucket.Tokens() - min(maxReserveFraction*a.Burst*g.Part(n), reserveSeconds*e.demand)
 	if s < 1 || d <= 0 {
 		return 0, 0
 	}
 	u := min(units, uint64(s))
 	e.bucket.TakeMany(int64(u))
-	e.lent = append(e.lent, debt{units: u, until: n.Add(d + d/loanMargin)})
+	e.loans = append(e.loans, givenLoan{units: u, until: n.Add(d + d/loanMarginDivisor)})
 	return u, d
 }
 
-// lasts returns for how long all of a grant is sure to last.
-func lasts(g grant.Grant, now time.Time) time.Duration {
-	d := never
+// remainingTime returns for how long all of a grant is certain to remain valid.
+func remainingTime(g grant.Grant, now time.Time) time.Duration {
+	d := unaffordableWait
 	if g.Floor > 0 && now.Before(g.FloorUntil) {
 		d = min(d, g.FloorUntil.Sub(now))
 	}
 	if g.Leased > 0 && now.Before(g.LeasedUntil) {
 		d = min(d, g.LeasedUntil.Sub(now))
 	}
-	return d - d/loanMargin
+	return d - d/loanMarginDivisor
 }
 
-// borrow asks for what n requests need beyond what is here and coming.
-func (q *Quota) borrow(name string, e *entry, n int, now time.Time) {
-	if q.Borrow == nil || now.Before(e.dry) {
+// requestLoan borrows from other hosts the tokens that n requests need in
+// addition to the available and expected ones.
+func (q *Quota) requestLoan(name string, e *entry, n int, now time.Time) {
+	if q.Borrow == nil || now.Before(e.noLenderUntil) {
 		return
 	}
-	u := min(n-e.coming(now)-int(e.bucket.Tokens()), borrowMost-e.pending)
-	if u <= 0 || e.ready(float64(n-e.coming(now))) <= borrowAfter {
+	u := min(n-e.expectedTokens(now)-int(e.bucket.Tokens()), maxRequestedTokens-e.requested)
+	if u <= 0 || e.timeUntilTokens(float64(n-e.expectedTokens(now))) <= minBorrowWait {
 		return
 	}
-	e.pending += u
+	e.requested += u
 	q.Borrow(name, uint64(u))
 }
 
-// Receive ends an ask for tokens with units of them, none if nobody lent any.
-// Until counts from before the loan was asked for.
+// Receive ends a loan request for asked tokens. Units is the number of tokens
+// lent, zero if no host lent any. Until is the end of the loan, counted from
+// before the request was sent.
 func (q *Quota) Receive(name string, asked, units uint64, until time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n := q.Clock.Now()
-	e, ok := q.touch(name, n)
+	e, ok := q.refreshedEntry(name, n)
 	if !ok {
 		return
 	}
-	e.pending = max(e.pending-int(asked), 0)
+	e.requested = max(e.requested-int(asked), 0)
 	if units == 0 {
-		e.dry = n.Add(dryFor)
+		e.noLenderUntil = n.Add(noLenderBackoff)
 	}
 	if !n.Before(until) {
 		return
@@ -95,15 +103,15 @@
 		e.borrowed = 0
 		e.borrowedUntil = until
 	}
-	// Only what somebody waits for is taken; the rest is lost.
+	// Only tokens for waiting requests are taken; the rest is lost.
 	e.borrowed += min(int(units), e.waiting-e.borrowed)
 	if until.Before(e.borrowedUntil) {
 		e.borrowedUntil = until
 	}
 }
 
-// Demands returns the requests per second offered for each account that had
-// any lately, smoothed over calls that are d apart.
+// Demands returns the offered requests per second for each account with recent
+// requests, smoothed over calls that are d apart.
 func (q *Quota) Demands(d time.Duration) map[string]float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -111,17 +119,18 @@
 	for k, e := range q.entries {
 		s := float64(e.offered) / d.Seconds()
 		e.offered = 0
-		e.demand += (s - e.demand) * smoothing
-		if e.demand > demandLeast {
+		e.demand += (s - e.demand) * demandSmoothing
+		if e.demand > minReportedDemand {
 			r[k] = e.demand
 		}
 	}
 	return r
 }
 
-// smoothing weighs the newest second against those before: single bursts must
-// not move parts between hosts.
-const smoothing = 0.2
+// demandSmoothing is the weight of the newest interval against those before. It
+// is low, so that a single burst does not move parts between hosts.
+const demandSmoothing = 0.2
 
-// demandLeast is the demand in requests per second that is not worth telling.
-const demandLeast = 0.01
+// minReportedDemand is the demand, in requests per second, above which an
+// account is reported.
+const minReportedDemand = 0.01
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,5 +1,5 @@
-// Package quota admits requests against the rate and burst of client accounts,
-// of which this host holds a part.
+// Package quota admits requests against this host's part of the rate and burst
+// of client accounts.
 package quota
 
 import (
@@ -13,49 +13,50 @@
 	"celeryreach.example/celeryreach/grant"
 )
 
-// drift is how fast a host's clock may run, as a divisor: refills are made
-// slower by it, so that hosts with fast clocks do not exceed the rate
-// together. Time services steer clocks by 0.05% at most.
-const drift = 1000
+// driftDivisor is how much too fast the clock of a host may run, as a divisor.
+// Refills are slowed down by this much, so that hosts with fast clocks do not
+// exceed the rate together. Time services adjust clocks by 0.05% at most.
+const driftDivisor = 1000
 
-// syncBatch is how many buckets are brought up to now while requests wait.
-const syncBatch = 256
+// syncBatchSize is how many buckets are refilled to the current time while
+// requests wait for the lock.
+const syncBatchSize = 256
 
-// retryMost is the longest time that a refused caller is told to wait: a host
-// whose part lapsed may have it back any second.
-const retryMost = 2 * time.Second
+// maxRetryAfter bounds the retry delay that a refused caller receives. A host
+// whose part lapsed may have it again within seconds.
+const maxRetryAfter = 2 * time.Second
 
-// Quota holds this host's part of every account's limit. It decides alone and
-// in memory; the parts of all hosts together never exceed the limit.
+// Quota holds this host's part of the limits of every account. It decides alone
+// and in memory, and the parts of all hosts together never exceed the limit.
 type Quota struct {
-	// Clock is the host's monotonic clock.
+	// Clock is the monotonic clock of the host.
 	Clock clockwork.Clock
 	// Account returns the limits in force.
 	Account func(name string) (account.Account, bool)
-	// Grant returns the part of an account's limit that this host may use.
+	// Grant returns the part of the limit of an account that this host may use.
 	Grant func(name string) grant.Grant
-	// Hold is the age beyond which Confirm takes a token anew.
+	// Hold is the age beyond which Confirm takes another token.
 	Hold time.Duration
-	// Borrow asks other hosts for tokens and later calls Receive once, with or
-	// without tokens; nil means that nobody lends. It must not block.
+	// Borrow requests tokens from other hosts and later calls Receive once, with
+	// or without tokens; nil means that no host lends. It must not block.
 	Borrow func(name string, units uint64)
 
-	mu      sync.Mutex
-	entries map[string]*entry
-	order   []*entry
+	mu        sync.Mutex
+	entries   map[string]*entry
+	entryList []*entry
 }
 
-// Take admits one request of an account at once and reports whether it may go
-// on.
+// Take admits one request of an account without waiting and reports whether it
+// was admitted.
 func (q *Quota) Take(name string) bool {
 	_, ok := q.Try(name, false)
 	return ok
 }
 
-// Admit admits one request, waiting up to wait for a token: a part of a small
-// burst is soon empty at one host, while the account as a whole is inside its
-// limits. It returns the moment of admission for Confirm, or else the time
-// after which an attempt has a chance.
+// Admit admits one request, waiting up to wait for a token. A part of a small
+// burst is soon empty on one host while the account in total is within its
+// limits. Admit returns the time of admission for Confirm, or else the time
+// after which another attempt can succeed.
 func (q *Quota) Admit(ctx context.Context, name string, wait time.Duration) (at time.Time, retry time.Duration, ok bool) {
 	d, ok := q.Try(name, false)
 	if ok {
@@ -63,7 +64,7 @@
 	}
 	t := q.Clock.Now().Add(wait)
 	if !q.Join(name, wait) {
-		return time.Time{}, min(d, retryMost), false
+		return time.Time{}, min(d, maxRetryAfter), false
 	}
 	defer q.Leave(name)
 	for {
@@ -73,56 +74,57 @@
 			return n, 0, true
 		}
 		if !n.Add(d).Before(t) {
-			return time.Time{}, min(d, retryMost), false
+			return time.Time{}, min(d, maxRetryAfter), false
 		}
 		select {
 		case <-ctx.Done():
-			return time.Time{}, min(d, retryMost), false
+			return time.Time{}, min(d, maxRetryAfter), false
 		case <-q.Clock.After(d):
 		}
 	}
 }
 
-// Try takes a token if there is one, and else returns after which time there
-// may be. Turn tells that the request waits since Join; others let those that
-// wait go first.
+// Try takes a token if there is one. Otherwise it returns the time after which
+// there may be one. Turn is true for a request that has waited since Join;
+// other requests are not admitted before those that wait.
 func (q *Quota) Try(name string, turn bool) (time.Duration, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n := q.Clock.Now()
-	e, ok := q.touch(name, n)
+	e, ok := q.refreshedEntry(name, n)
 	if !ok {
 		return time.Second, false
 	}
 	if !turn {
 		e.offered++
 		if e.waiting > 0 {
-			return e.ready(float64(e.waiting) + 1), false
+			return e.timeUntilTokens(float64(e.waiting) + 1), false
 		}
 	}
 	if e.take(n) {
 		return 0, true
 	}
-	d := e.ready(1)
+	d := e.timeUntilTokens(1)
 	if turn {
-		q.borrow(name, e, e.waiting, n)
-		d = min(d, e.answer(n))
+		q.requestLoan(name, e, e.waiting, n)
+		d = min(d, e.pollDelay(n))
 	}
 	return d, false
 }
 
-// Join lets a request wait for its turn, if the tokens of that time suffice
-// for all that wait. Each Join that returned true needs one Leave.
+// Join lets a request wait for its turn, if the tokens expected within wait
+// suffice for all waiting requests. Each Join that returned true needs one
+// Leave.
 func (q *Quota) Join(name string, wait time.Duration) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n := q.Clock.Now()
-	e, ok := q.touch(name, n)
+	e, ok := q.refreshedEntry(name, n)
 	if !ok {
 		return false
 	}
-	q.borrow(name, e, e.waiting+1, n)
-	if e.ready(float64(e.waiting+1-e.coming(n))) > wait && (!e.unknown || e.waiting >= unknownMost) {
+	q.requestLoan(name, e, e.waiting+1, n)
+	if e.timeUntilTokens(float64(e.waiting+1-e.expectedTokens(n))) > wait && (!e.grantUnknown || e.waiting >= maxUnknownGrantWaiters) {
 		return false
 	}
 	e.waiting++
@@ -138,9 +140,9 @@
 	}
 }
 
-// Confirm is asked right before a request leaves. A token of a process that
-// was paused for longer than Hold belongs to a part that others may use by
-// now, so it is taken anew.
+// Confirm is called right before a request is forwarded. If the process was
+// paused for longer than Hold since the token was taken, other hosts may
+// already use the part that the token came from, so another token is taken.
 func (q *Quota) Confirm(name string, at time.Time) bool {
 	if q.Clock.Since(at) < q.Hold {
 		return true
@@ -148,38 +150,40 @@
 	return q.Take(name)
 }
 
-// Return gives back the token of a request that ended "not run".
+// Return gives back the token of a request that ended with the outcome "not
+// run".
 func (q *Quota) Return(name string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if e, ok := q.touch(name, q.Clock.Now()); ok {
+	if e, ok := q.refreshedEntry(name, q.Clock.Now()); ok {
 		e.bucket.Return()
 	}
 }
 
-// Sync brings every bucket up to now under the grants in force. It is called
-// right before they change, so that no bucket refills by a grant for a time in
-// which it did not hold. Requests go on between two batches; they too use the
-// grants that are still in force.
+// Sync refills every bucket to the current time under the grants in force. It
+// is called right before the grants change, so that no bucket is refilled for a
+// time in which its grant was not valid. Requests are admitted between two
+// batches; they use the grants that are still in force too.
 func (q *Quota) Sync() {
-	for i := 0; q.syncFrom(i); i += syncBatch {
+	for i := 0; q.syncFrom(i); i += syncBatchSize {
 	}
 }
 
-// syncFrom syncs one batch and reports whether there may be another.
+// syncFrom refills one batch of buckets and reports whether there may be
+// another.
 func (q *Quota) syncFrom(i int) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n := q.Clock.Now()
-	l := q.order[min(i, len(q.order)):min(i+syncBatch, len(q.order))]
+	l := q.entryList[min(i, len(q.entryList)):min(i+syncBatchSize, len(q.entryList))]
 	for _, e := range l {
-		q.touch(e.name, n)
+		q.refreshedEntry(e.name, n)
 	}
-	return len(l) == syncBatch
+	return len(l) == syncBatchSize
 }
 
-// touch returns an account's entry with its bucket refilled.
-func (q *Quota) touch(name string, now time.Time) (*entry, bool) {
+// refreshedEntry returns the entry of an account after refilling its bucket.
+func (q *Quota) refreshedEntry(name string, now time.Time) (*entry, bool) {
 	a, ok := q.Account(name)
 	if !ok {
 		return nil, false
@@ -190,9 +194,9 @@
 		if q.entries == nil {
 			q.entries = make(map[string]*entry)
 		}
-		e = &entry{name: name, last: now, rate: a.Rate}
+		e = &entry{name: name, lastRefill: now, rate: a.Rate}
 		q.entries[name] = e
-		q.order = append(q.order, e)
+		q.entryList = append(q.entryList, e)
 		e.bucket.Limit(a.Burst * g.Part(now))
 		if g.Unused {
 			e.bucket.Fill()
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -23,20 +23,20 @@
 	"celeryreach.example/celeryreach/span"
 )
 
-// bench is a quota whose grant the test sets.
-type bench struct {
+// testQuota is a quota whose grant is set by the test.
+type testQuota struct {
 	*quota.Quota
 	clock *clockwork.FakeClock
 	grant grant.Grant
 	asked []uint64
 }
 
-// newBench has one account "a" with 10 requests per second and a burst of 4,
-// and all of it for the next hour.
-func newBench() *bench {
+// newTestQuota returns a quota with one account "a" with 10 requests per second
+// and a burst of 4, which this host may use entirely for the next hour.
+func newTestQuota() *testQuota {
 	c := clockwork.NewFakeClock()
 	n := c.Now()
-	b := &bench{clock: c, grant: grant.Grant{Leased: 1, LeasedSince: n, LeasedUntil: n.Add(time.Hour), Unused: true}}
+	b := &testQuota{clock: c, grant: grant.Grant{Leased: 1, LeasedSince: n, LeasedUntil: n.Add(time.Hour), Unused: true}}
 	b.Quota = &quota.Quota{
 		Clock: c, Hold: 3 * time.Second,
 		Account: func(n string) (account.Account, bool) { return account.Account{Name: n, Rate: 10, Burst: 4}, n == "a" },
@@ -45,7 +45,7 @@
 	return b
 }
 
-func (b *bench) drain() int {
+func (b *testQuota) drain() int {
 	n := 0
 	for b.Take("a") {
 		n++
@@ -53,11 +53,11 @@
 	return n
 }
 
-// A part lapses and comes back five seconds later. Nobody sent a request in
-// between, so the bucket sees only now that time has passed. The tokens of the
-// lapse belong to whoever had the part then.
+// A part lapses and is valid again five seconds later. No request arrived in
+// between, so the bucket is refilled only afterwards. It must not gain tokens
+// for the lapse, since they belong to the host that held the part then.
 func TestNoRefillWhileLapsed(t *testing.T) {
-	b := newBench()
+	b := newTestQuota()
 	must.Eq(t, 4, b.drain())
 	b.grant.LeasedUntil = b.clock.Now().Add(101 * time.Millisecond)
 	b.clock.Advance(5 * time.Second)
@@ -67,10 +67,11 @@
 	must.Eq(t, 0, b.drain())
 }
 
-// A request waits for a token that comes within its time, and is refused at
-// once with the time to come back when it cannot.
+// A request waits for a token that becomes available within its time. If that
+// is not possible, the request is refused at once with the time after which to
+// retry.
 func TestAdmitWaits(t *testing.T) {
-	b := newBench()
+	b := newTestQuota()
 	b.drain()
 	_, r, ok := b.Admit(context.Background(), "a", 50*time.Millisecond)
 	must.False(t, ok)
@@ -85,9 +86,10 @@
 	must.True(t, <-d)
 }
 
-// A caller leaves while its request waits; its turn goes to nobody.
+// A caller cancels while its request waits. The request must not use a token
+// later.
 func TestAdmitLeaves(t *testing.T) {
-	b := newBench()
+	b := newTestQuota()
 	b.drain()
 	x, f := context.WithCancel(context.Background())
 	d := make(chan bool)
@@ -102,10 +104,10 @@
 	must.Eq(t, 4, b.drain())
 }
 
-// A process is paused between taking a token and sending the request. After
-// Hold others may use its part, so the token no longer counts.
+// A process is paused between taking a token and forwarding the request. After
+// Hold other hosts may use its part, so the token is no longer valid.
 func TestConfirmAfterPause(t *testing.T) {
-	b := newBench()
+	b := newTestQuota()
 	must.True(t, b.Take("a"))
 	n := b.clock.Now()
 	must.True(t, b.Confirm("a", n))
@@ -114,10 +116,10 @@
 	must.False(t, b.Confirm("a", n))
 }
 
-// A request that ended "not run" gives its token back, but never beyond what
-// the part may hold.
+// A request that ended with "not run" gives its token back, but the bucket
+// never exceeds its capacity.
 func TestReturn(t *testing.T) {
-	b := newBench()
+	b := newTestQuota()
 	must.Eq(t, 4, b.drain())
 	b.Return("a")
 	must.Eq(t, 1, b.drain())
@@ -127,10 +129,11 @@
 	must.Eq(t, 4, b.drain())
 }
 
-// Lent tokens are gone at once, and their place stays closed until the loan
-// has ended: else the lender would refill what the borrower still has.
+// Lent tokens are deducted at once, and their place in the bucket stays
+// unavailable until the loan has ended. Otherwise the lender would refill
+// tokens that the borrower still has.
 func TestLend(t *testing.T) {
-	b := newBench()
+	b := newTestQuota()
 	must.True(t, b.Take("a"))
 	u, d := b.Lend("a", 2, time.Second)
 	must.Eq(t, 2, u)
@@ -141,20 +144,20 @@
 	must.Eq(t, 4, b.drain())
 }
 
-// The lender's part may end before the loan would. The borrower must not spend
-// its tokens after that, when the part has another holder.
+// The lender's part may end before the loan would. The borrower must not use
+// the tokens after that, when another host holds the part.
 func TestLoanEndsWithPart(t *testing.T) {
-	b := newBench()
+	b := newTestQuota()
 	b.grant.LeasedUntil = b.clock.Now().Add(100 * time.Millisecond)
 	u, d := b.Lend("a", 2, time.Second)
 	must.Eq(t, 2, u)
 	must.Eq(t, 98*time.Millisecond, d)
 }
 
-// Borrowed tokens serve requests that wait, once, until their deadline. What
-// nobody waits for is lost, and what comes too late too.
+// Borrowed tokens serve waiting requests, once each, until their deadline.
+// Tokens for which no request waits and tokens that arrive too late are lost.
 func TestBorrowed(t *testing.T) {
-	b := newBench()
+	b := newTestQuota()
 	b.grant = grant.Grant{}
 	b.Borrow = func(_ string, u uint64) { b.asked = append(b.asked, u) }
 	must.True(t, b.Join("a", time.Second))
@@ -169,7 +172,8 @@
 	must.False(t, ok)
 }
 
-// BenchmarkAdmission measures from the key in a request to the decision.
+// BenchmarkAdmission measures the time from the key in a request to the
+// decision.
 func BenchmarkAdmission(b *testing.B) {
 	for _, n := range []int{8, 1_000, 100_000} {
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
@@ -183,7 +187,7 @@
 			}
 			s := snapshot.New(c, "")
 			a := &admission.Admission{Snapshot: func() *snapshot.Snapshot { return s }}
-			x := newBench()
+			x := newTestQuota()
 			x.Account = s.Account
 			x.Clock = clockwork.NewRealClock()
 			x.Grant = newHolding(x.Clock).Rate
@@ -200,7 +204,8 @@
 	}
 }
 
-// newHolding returns the holding of a host that has the first epoch alone.
+// newHolding returns the holding of a host that is the only holder of the first
+// epoch.
 func newHolding(c clockwork.Clock) *holding.Holding {
 	s := holder.Holder{Name: "h", Domain: "d"}
 	h := &holding.Holding{Clock: c, Self: s, Hold: time.Hour, StoreHold: time.Hour}
@@ -209,12 +214,12 @@
 	return h
 }
 
-// BenchmarkSync measures what a new epoch costs the request path: all buckets
-// are brought up to now under the lock.
+// BenchmarkSync measures the cost of a new epoch for the request path: all
+// buckets are refilled to the current time under the lock.
 func BenchmarkSync(b *testing.B) {
 	for _, n := range []int{8, 1_000, 100_000} {
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
-			x := newBench()
+			x := newTestQuota()
 			x.Account = func(n string) (account.Account, bool) { return account.Account{Name: n, Rate: 10, Burst: 4}, true }
 			x.Grant = newHolding(x.clock).Rate
 			for i := range n {
