--- a/demand/demand.go
+++ b/demand/demand.go
@@ -1,5 +1,4 @@
-// Package demand collects what the hosts report of the requests that they are
-// offered.
+// Package demand collects the request rates that hosts report.
 package demand
 
 import (
@@ -12,11 +11,11 @@
 	"celeryreach.example/celeryreach/division"
 )
 
-// Demand is what this host knows of all hosts' demand.
+// Demand holds the newest reports of all hosts.
 type Demand struct {
-	// Clock ages the reports.
+	// Clock determines the age of reports.
 	Clock clockwork.Clock
-	// Hold is the age beyond which a report no longer counts.
+	// Hold is the age beyond which a report is ignored.
 	Hold time.Duration
 	// Account returns the limits in force.
 	Account func(name string) (account.Account, bool)
@@ -30,7 +29,7 @@
 	rates map[string]float64
 }
 
-// Note takes a host's report: requests per second by account.
+// Note stores the report of a host: requests per second by account.
 func (d *Demand) Note(host string, rates map[string]float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -40,8 +39,8 @@
 	d.reports[host] = report{at: d.Clock.Now(), rates: rates}
 }
 
-// Fractions returns the part of each account's rate that each host asks for,
-// by limit and host name.
+// Fractions returns the fraction of the rate of each account that each host
+// requests, by limit and host name.
 func (d *Demand) Fractions() map[string]map[string]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/grant/grant.go
+++ b/grant/grant.go
@@ -1,29 +1,32 @@
-// Package grant describes what a host may use of a limit, and until when.
+// Package grant describes which part of a limit a host may use, and until when.
 package grant
 
 import "time"
 
-// Grant is the use of one limit by one host. It tells the times, so that a
-// token bucket that is looked at late refills only for the time in which the
-// grant held.
+// Grant is what one host may use of one limit. It contains the times of
+// validity, so that a token bucket that is refilled late gains tokens only for
+// the time in which the grant was valid.
 type Grant struct {
 	// Floor is the permanent fraction, 0..1.
 	Floor float64
 	// FloorSince is when the floor became usable.
 	FloorSince time.Time
-	// FloorUntil is when the floor stops unless the process shows life.
+	// FloorUntil is when the floor stops being usable, unless the process shows
+	// that it is still running.
 	FloorUntil time.Time
 	// Leased is the leased fraction, 0..1.
 	Leased float64
 	// LeasedSince is when the leased fraction became usable.
 	LeasedSince time.Time
-	// LeasedUntil is when it stops unless it is renewed.
+	// LeasedUntil is when the leased fraction stops being usable, unless it is
+	// renewed.
 	LeasedUntil time.Time
-	// Unknown tells that no division names this process yet, so that requests
-	// rather wait a little than be refused.
+	// Unknown is true if the current division does not contain this process, or
+	// none is known yet. Requests then wait for a short time instead of being
+	// refused.
 	Unknown bool
-	// Unused tells that nobody ever used the limit before this grant, so that
-	// its bucket may start full.
+	// Unused is true if no host used the limit before this grant, so that its
+	// bucket may start full.
 	Unused bool
 }
 
--- a/holder/holder.go
+++ b/holder/holder.go
@@ -1,11 +1,12 @@
-// Package holder names the processes that hold parts of limits.
+// Package holder identifies the processes that hold parts of limits.
 package holder
 
-// Holder is one process. A replacement under the same name is another holder.
+// Holder is one process. A replacement process under the same name is a
+// different holder.
 type Holder struct {
-	// Name is the host's name.
+	// Name is the name of the host.
 	Name string
-	// Incarnation tells the process from others that had the name.
+	// Incarnation distinguishes the process from others under the same name.
 	Incarnation uint64
 	// Domain is the failure domain of the host.
 	Domain string
--- a/part/part.go
+++ b/part/part.go
@@ -1,12 +1,13 @@
-// Package part describes what one holder has of one limit.
+// Package part describes the part of one limit that one holder has.
 package part
 
 import "celeryreach.example/celeryreach/span"
 
-// Part is what a division gives to one holder.
+// Part is what a division assigns to one holder.
 type Part struct {
-	// Floor is the holder's cut of its failure domain's permanent part.
+	// Floor is the holder's share of the permanent part of its failure domain.
 	Floor []span.Span `json:",omitzero"`
-	// Leased is what the holder may use while others vouch for the division.
+	// Leased is what the holder may use while other holders confirm the
+	// division.
 	Leased []span.Span `json:",omitzero"`
 }
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -1,4 +1,4 @@
-// Package replay tells after the fact which refusals for a rate were wrongful.
+// Package replay determines afterwards which refusals for a rate were wrongful.
 package replay
 
 import (
@@ -8,17 +8,17 @@
 	"celeryreach.example/celeryreach/second"
 )
 
-// Wrongful returns, by second, how many refusals of an account a single token
-// bucket that sees the requests of all hosts would not have made. The bucket
-// starts full, and what it gains within a second can be spent in that second.
-// The order of requests within a second is not known, and the hosts' wall
-// clocks differ, so at the edge of a burst a count can be off by what the
-// bucket gains in that time.
+// Wrongful returns, by second, how many refusals of an account would not have
+// been made by a single token bucket for the requests of all hosts. The bucket
+// starts full, and the tokens that it gains within a second can be used in that
+// second. The order of requests within a second is not known and the wall
+// clocks of hosts differ, so at the edge of a burst a count can be off by the
+// tokens gained in that time.
 func Wrongful(a account.Account, all []second.Second) map[int64]uint64 {
 	r := make(map[int64]uint64)
 	t := a.Burst
 	var next int64
-	for i, v := range merge(a.Name, all) {
+	for i, v := range sumByTime(a.Name, all) {
 		if i > 0 {
 			t = min(a.Burst, t+a.Rate*float64(v.Second-next))
 		}
@@ -32,8 +32,8 @@
 	return r
 }
 
-// merge sums the counts of all hosts, ordered by time.
-func merge(name string, all []second.Second) []second.Second {
+// sumByTime sums the counts of an account over all hosts, ordered by time.
+func sumByTime(name string, all []second.Second) []second.Second {
 	m := make(map[int64]*second.Second)
 	for _, v := range all {
 		if v.Account != name {
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -11,9 +11,9 @@
 	"celeryreach.example/celeryreach/second"
 )
 
-// However the same requests are spread over hosts, the verdict is the same;
-// what one bucket would have admitted keeps to rate and burst over every
-// window; and no more refusals are wrongful than there were.
+// The result does not depend on how requests are distributed over hosts. The
+// requests that one bucket would have admitted stay within rate and burst over
+// every window, and no more refusals are wrongful than there were.
 func TestWrongful(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := account.Account{Name: "a", Rate: float64(rapid.IntRange(1, 50).Draw(t, "rate")), Burst: float64(rapid.IntRange(1, 100).Draw(t, "burst"))}
@@ -49,9 +49,9 @@
 	})
 }
 
-// An account at five times its rate is refused rightfully four times of five,
-// once its burst is gone; the same refusals without the admitted requests
-// would all have been wrongful up to the rate.
+// An account that offers five times its rate is rightly refused four of five
+// requests once its burst is used up. If no request had been admitted, the same
+// refusals would have been wrongful up to burst and rate.
 func TestFiveTimesTheRate(t *testing.T) {
 	a := account.Account{Name: "a", Rate: 10, Burst: 20}
 	var fair, unfair []second.Second
--- a/second/second.go
+++ b/second/second.go
@@ -1,14 +1,16 @@
-// Package second describes how an account's requests met its rate.
+// Package second describes how the requests of an account were admitted or
+// refused by its rate in one second.
 package second
 
 // Second counts the requests of one client account in one second on one host.
 type Second struct {
-	// Second is the time, in seconds since 1970 by the host's wall clock.
+	// Second is the time in seconds since 1970, by the wall clock of the host.
 	Second int64
 	// Account is the client account.
 	Account string
-	// Admitted are the requests that spent a token.
+	// Admitted is the number of requests that used a token.
 	Admitted uint64
-	// Refused are the refusals for the account's rate.
+	// Refused is the number of requests that were refused because of the rate of
+	// the account.
 	Refused uint64
 }
--- a/share/share.go
+++ b/share/share.go
@@ -1,7 +1,7 @@
-// Package share describes what a host may use of a client account's limit.
+// Package share describes what a host may use of the limit of a client account.
 package share
 
-// Share is one host's part of one account's rate and burst, now.
+// Share is one host's current part of the rate and burst of one account.
 type Share struct {
 	// Account is the client account.
 	Account string
@@ -9,8 +9,8 @@
 	Floor float64
 	// Leased is the leased part in 0..1; zero while it may not be used.
 	Leased float64
-	// Rate is what both come to, in requests per second.
+	// Rate is the total of both parts, in requests per second.
 	Rate float64
-	// Lent are the tokens that other hosts have on loan from this one.
+	// Lent is the number of tokens that this host has lent to other hosts.
 	Lent uint64 `json:",omitzero"`
 }
--- a/span/span.go
+++ b/span/span.go
@@ -1,10 +1,10 @@
-// Package span cuts a limit into disjoint intervals.
+// Package span divides a limit into disjoint intervals.
 package span
 
 import "sort"
 
-// Whole is the length of a whole limit. Every limit is an interval [0, Whole),
-// whatever its unit.
+// Whole is the length of a complete limit. Every limit is an interval [0,
+// Whole), whatever its unit.
 const Whole = 1 << 20
 
 // Span is the interval [From, To) of a limit.
@@ -34,7 +34,8 @@
 	return false
 }
 
-// Join returns the union of disjoint spans in order, neighbors merged.
+// Join returns the union of two sets of spans in ascending order, with adjacent
+// spans merged.
 func Join(a, b []Span) []Span {
 	s := append(append(make([]Span, 0, len(a)+len(b)), a...), b...)
 	sort.Slice(s, func(i, j int) bool { return s[i].From < s[j].From })
@@ -52,7 +53,7 @@
 	return r
 }
 
-// Intersect returns what is in both a and b, each in order.
+// Intersect returns what is in both a and b, each in ascending order.
 func Intersect(a, b []Span) []Span {
 	var r []Span
 	for i, j := 0, 0; i < len(a) && j < len(b); {
@@ -69,7 +70,7 @@
 	return r
 }
 
-// Subtract returns what is in a but not in b, each in order.
+// Subtract returns what is in a but not in b, each in ascending order.
 func Subtract(a, b []Span) []Span {
 	r := a
 	for _, v := range b {
@@ -105,7 +106,7 @@
 	return first, nil
 }
 
-// Equal cuts s into n pieces whose lengths differ by at most one.
+// Equal splits s into n pieces whose lengths differ by at most one.
 func Equal(s []Span, n int) [][]Span {
 	r := make([][]Span, n)
 	l := Length(s)
