--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -12,9 +12,10 @@
 	"celeryreach.example/celeryreach/experiment"
 )
 
-// The experiment is repeated in its short form, and each line of the data file
-// names a bound that its table must keep: never a request above an account's
-// limits, few wrongful refusals, nobody far below its due.
+// TestTargets runs the short form of the experiment. Each line of the data file
+// names a bound that the resulting table must keep: no request above the limits
+// of an account, few wrongful refusals, and no account far below what it is
+// due.
 func TestTargets(t *testing.T) {
 	var b bytes.Buffer
 	e := &experiment.Experiment{
@@ -43,7 +44,7 @@
 	}
 }
 
-// table reads the printed table by user and scenario, then by column.
+// table parses the printed table by user and scenario, then by column.
 func table(s string) map[string]map[string]float64 {
 	r := make(map[string]map[string]float64)
 	l := strings.Split(strings.TrimSpace(s), "\n")
--- a/experiment/load.go
+++ b/experiment/load.go
@@ -6,81 +6,84 @@
 	"celeryreach.example/celeryreach/account"
 )
 
-// window is the time over which the refusals of an account that offers more
-// than its rate are weighed against what it was due.
-const window = 10 * time.Second
+// windowLength is the time over which the refusals of an account that offers
+// more than its rate are compared with what the account was due.
+const windowLength = 10 * time.Second
 
-// offer is what one account's callers send, and the exact bucket that a
-// central counter would be.
-type offer struct {
+// accountLoad is the load of one account's callers, and the exact token bucket
+// that a central counter would use.
+type accountLoad struct {
 	account account.Account
 	index   int
 	tokens  int64
 	at      time.Time
-	// judged counts what was admitted, to see that it stays in the limits.
-	judged   int64
-	judgedAt time.Time
+	// checkTokens is an exact bucket of the admitted requests. It verifies that
+	// they stay within the limits.
+	checkTokens int64
+	checkedAt   time.Time
 
-	windows []*span
+	windows []*windowCount
 }
 
-// span counts the requests that came in during one window.
-type span struct {
-	start    time.Time
+// windowCount counts the requests that arrived during one window.
+type windowCount struct {
+	start time.Time
+	// due is the number of requests that the exact bucket admits.
 	due      int
 	admitted int
 }
 
-func newOffer(a account.Account, i int) *offer {
-	return &offer{account: a, index: i, tokens: int64(a.Burst) * int64(time.Second), judged: int64(a.Burst) * int64(time.Second)}
+func newAccountLoad(a account.Account, i int) *accountLoad {
+	return &accountLoad{account: a, index: i, tokens: int64(a.Burst) * int64(time.Second), checkTokens: int64(a.Burst) * int64(time.Second)}
 }
 
 // begin starts the callers. The first account offers factor times its rate if
 // that is above one.
-func (p *play) begin(factor float64) {
-	for _, o := range p.offers {
-		o.at, o.judgedAt = p.simulation.Now(), p.simulation.Now()
-		f := load
+func (p *trial) begin(factor float64) {
+	for _, o := range p.loads {
+		o.at, o.checkedAt = p.simulation.Now(), p.simulation.Now()
+		f := ordinaryLoad
 		if o.index == 0 && factor > 1 {
 			f = factor
 		}
-		p.next(o, f*o.account.Rate)
+		p.scheduleNext(o, f*o.account.Rate)
 	}
 }
 
-// next schedules an account's next request.
-func (p *play) next(o *offer, rate float64) {
+// scheduleNext schedules the next request of an account.
+func (p *trial) scheduleNext(o *accountLoad, rate float64) {
 	d := time.Duration(p.random.ExpFloat64() / rate * float64(time.Second))
 	p.simulation.At(d, func() {
 		if p.ended {
 			return
 		}
-		p.arrive(o)
-		p.next(o, rate)
+		p.handleRequest(o)
+		p.scheduleNext(o, rate)
 	})
 }
 
-// end stops the callers and adds up all windows but the last, whose requests
-// may still wait.
-func (p *play) end() {
+// end stops the callers and sums all windows except the last one, whose
+// requests may still wait.
+func (p *trial) end() {
 	p.ended = true
-	for _, o := range p.offers {
-		p.result.add(o, p.event)
+	for _, o := range p.loads {
+		p.result.add(o, p.faultAt)
 	}
 }
 
-// window returns the count for requests that come in now.
-func (o *offer) window(now time.Time) *span {
-	if n := len(o.windows); n > 0 && now.Sub(o.windows[n-1].start) < window {
+// window returns the count for requests that arrive at now.
+func (o *accountLoad) window(now time.Time) *windowCount {
+	if n := len(o.windows); n > 0 && now.Sub(o.windows[n-1].start) < windowLength {
 		return o.windows[n-1]
 	}
-	w := &span{start: now}
+	w := &windowCount{start: now}
 	o.windows = append(o.windows, w)
 	return w
 }
 
-// arrive plays one request: callers whose entry host is gone use another.
-func (p *play) arrive(o *offer) {
+// handleRequest simulates one request. Callers whose entry host is down use
+// another one.
+func (p *trial) handleRequest(o *accountLoad) {
 	p.result.offered++
 	n := p.simulation.Now()
 	b := int64(o.account.Burst) * int64(time.Second)
@@ -91,25 +94,25 @@
 		o.tokens -= int64(time.Second)
 		w.due++
 	}
-	h, ok := p.entry(o.index)
+	h, ok := p.pickEntryHost(o.index)
 	if !ok {
 		return
 	}
 	q := p.simulation.Quota(h)
 	if _, ok := q.Try(o.account.Name, false); ok {
-		p.admit(o, w)
+		p.recordAdmission(o, w)
 		return
 	}
 	if q.Join(o.account.Name, maxWait) {
-		p.wait(o, w, h, n.Add(maxWait))
+		p.retryWaiting(o, w, h, n.Add(maxWait))
 	}
 }
 
-func (p *play) wait(o *offer, w *span, host int, until time.Time) {
+func (p *trial) retryWaiting(o *accountLoad, w *windowCount, host int, until time.Time) {
 	q := p.simulation.Quota(host)
 	d, ok := q.Try(o.account.Name, true)
 	if ok {
-		p.admit(o, w)
+		p.recordAdmission(o, w)
 		q.Leave(o.account.Name)
 		return
 	}
@@ -117,24 +120,25 @@
 		q.Leave(o.account.Name)
 		return
 	}
-	p.simulation.At(d, func() { p.wait(o, w, host, until) })
+	p.simulation.At(d, func() { p.retryWaiting(o, w, host, until) })
 }
 
-// admit counts an admission and judges it by exact arithmetic.
-func (p *play) admit(o *offer, w *span) {
+// recordAdmission counts an admission and checks it against the limits with
+// exact arithmetic.
+func (p *trial) recordAdmission(o *accountLoad, w *windowCount) {
 	n := p.simulation.Now()
 	b := int64(o.account.Burst) * int64(time.Second)
-	o.judged = min(b, o.judged+int64(o.account.Rate*float64(n.Sub(o.judgedAt))))
-	o.judgedAt = n
-	o.judged -= int64(time.Second)
-	if o.judged < 0 {
-		p.result.over++
+	o.checkTokens = min(b, o.checkTokens+int64(o.account.Rate*float64(n.Sub(o.checkedAt))))
+	o.checkedAt = n
+	o.checkTokens -= int64(time.Second)
+	if o.checkTokens < 0 {
+		p.result.overLimit++
 	}
 	w.admitted++
 }
 
-// entry draws the entry host of a request.
-func (p *play) entry(account int) (int, bool) {
+// pickEntryHost draws the entry host of a request.
+func (p *trial) pickEntryHost(account int) (int, bool) {
 	w := p.weights[account]
 	s := 0.0
 	for i, v := range w {
@@ -155,45 +159,53 @@
 	return 0, false
 }
 
-// result adds up one run.
+// result is the total of one run.
 type result struct {
-	offered  int
-	over     int
-	messages float64
-	store    float64
-	due      int
-	short    int
-	lateDue  int
-	lateLost int
-	least    float64
-}
-
-func (r *result) add(o *offer, event time.Time) {
+	offered int
+	// overLimit counts admissions above the limits of an account.
+	overLimit int
+	// messages and storeOperations are per second.
+	messages        float64
+	storeOperations float64
+	// due counts the requests that the exact buckets admit, and shortfall those
+	// by which the admitted requests of a window fall short of that.
+	due       int
+	shortfall int
+	// faultMinuteDue and faultMinuteShortfall are the same for the minute after
+	// the fault.
+	faultMinuteDue       int
+	faultMinuteShortfall int
+	// lowestServed is the fraction of its due requests that the worst-served
+	// account gets.
+	lowestServed float64
+}
+
+func (r *result) add(o *accountLoad, event time.Time) {
 	d, h := 0, 0
 	for _, w := range o.windows[:max(len(o.windows)-1, 0)] {
 		s := max(w.due-w.admitted, 0)
 		d += w.due
 		h += s
 		if a := w.start.Sub(event); a >= 0 && a < time.Minute {
-			r.lateDue += w.due
-			r.lateLost += s
+			r.faultMinuteDue += w.due
+			r.faultMinuteShortfall += s
 		}
 	}
 	r.due += d
-	r.short += h
-	if s := 1 - float64(h)/float64(max(d, 1)); r.least == 0 || s < r.least {
-		r.least = s
+	r.shortfall += h
+	if s := 1 - float64(h)/float64(max(d, 1)); r.lowestServed == 0 || s < r.lowestServed {
+		r.lowestServed = s
 	}
 }
 
-func (r *result) wrongful() float64 {
-	return 100 * float64(r.short) / float64(max(r.due, 1))
+func (r *result) wrongfulPercent() float64 {
+	return 100 * float64(r.shortfall) / float64(max(r.due, 1))
 }
 
-func (r *result) after() float64 {
-	return 100 * float64(r.lateLost) / float64(max(r.lateDue, 1))
+func (r *result) minuteAfterPercent() float64 {
+	return 100 * float64(r.faultMinuteShortfall) / float64(max(r.faultMinuteDue, 1))
 }
 
-func (r *result) worst() float64 {
-	return 100 * r.least
+func (r *result) worstPercent() float64 {
+	return 100 * r.lowestServed
 }
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -15,56 +15,58 @@
 )
 
 const (
-	near       = 500 * time.Microsecond
-	sameRegion = 500 * time.Microsecond
-	// load is the part of its rate that an account offers on an ordinary day.
-	load = 0.6
-	// home is the part of an account's requests that one region receives.
-	home    = 0.6
-	maxWait = time.Second
-	regions = 3
+	withinRegionDelay = 500 * time.Microsecond
+	sameRegion        = 500 * time.Microsecond
+	// ordinaryLoad is the fraction of its rate that an account offers without
+	// overload.
+	ordinaryLoad = 0.6
+	// homeShare is the fraction of an account's requests that one region
+	// receives.
+	homeShare = 0.6
+	maxWait   = time.Second
+	regions   = 3
 )
 
-// play is one run.
-type play struct {
-	simulation *simulation.Simulation
-	config     *config.Config
-	size       deployment
-	way        way
-	random     *rand.Rand
-	region     []int // by process
-	names      []string
-	current    []int       // process by place
-	weights    [][]float64 // by account, then place
-	offers     []*offer
-	fixed      *fixed
-	out        bool
-	cut        bool
-	ended      bool
-	event      time.Time
-	result     result
+// trial is one run of a scenario.
+type trial struct {
+	simulation  *simulation.Simulation
+	config      *config.Config
+	deployment  deployment
+	method      divisionMethod
+	random      *rand.Rand
+	region      []int // by process number
+	names       []string
+	current     []int       // process number by position in the deployment
+	weights     [][]float64 // by account, then position
+	loads       []*accountLoad
+	baseline    *baseline
+	storeDown   bool
+	partitioned bool
+	ended       bool
+	faultAt     time.Time
+	result      result
 }
 
-func newPlay(seed uint64, d deployment, w way) *play {
-	p := &play{size: d, way: w, random: random(seed, 1)}
+func newTrial(seed uint64, d deployment, w divisionMethod) *trial {
+	p := &trial{deployment: d, method: w, random: random(seed, 1)}
 	p.config = newConfig(d)
 	p.simulation = &simulation.Simulation{
 		Hold: 3 * time.Second, StoreHold: time.Hour, Heartbeat: d.heartbeat, Poll: time.Second, Least: 5 * time.Second,
 		Config: p.config, Table: new(table.Table), Random: random(seed, 2), Delay: p.delay, Store: p.store,
 	}
-	p.fixed = &fixed{play: p}
-	p.simulation.Fixed = w.grants(p.fixed)
+	p.baseline = &baseline{trial: p}
+	p.simulation.Fixed = w.grants(p.baseline)
 	for r, n := range d.perRegion {
 		for i := range n {
 			p.add(fmt.Sprintf("%s-%d", d.regions[r], i), r, i%2)
 		}
 	}
-	p.weigh()
+	p.drawWeights()
 	for i, a := range p.config.Accounts {
-		p.offers = append(p.offers, newOffer(a, i))
+		p.loads = append(p.loads, newAccountLoad(a, i))
 	}
 	if w.start != nil {
-		w.start(p.fixed)
+		w.start(p.baseline)
 	}
 	return p
 }
@@ -82,8 +84,8 @@
 	return c
 }
 
-func (p *play) add(name string, region, domain int) int {
-	r := p.size.regions[region]
+func (p *trial) add(name string, region, domain int) int {
+	r := p.deployment.regions[region]
 	n := p.simulation.Add(name, fmt.Sprintf("%s-%d", r, domain), r, 1+(p.random.Float64()-0.5)/1000)
 	p.region = append(p.region, region)
 	p.names = append(p.names, name)
@@ -91,8 +93,8 @@
 	return n
 }
 
-// weigh draws where the requests of each account come in.
-func (p *play) weigh() {
+// drawWeights draws the entry hosts' shares of each account's requests.
+func (p *trial) drawWeights() {
 	for a := range p.config.Accounts {
 		w := make([]float64, len(p.current))
 		s := make([]float64, regions)
@@ -101,9 +103,9 @@
 			s[p.region[i]] += w[i]
 		}
 		for i := range w {
-			f := (1 - home) / (regions - 1)
+			f := (1 - homeShare) / (regions - 1)
 			if p.region[i] == a%regions {
-				f = home
+				f = homeShare
 			}
 			w[i] *= f / s[p.region[i]]
 		}
@@ -111,37 +113,37 @@
 	}
 }
 
-func (p *play) delay(from, to int) (time.Duration, bool) {
+func (p *trial) delay(from, to int) (time.Duration, bool) {
 	f, t := p.region[from], p.region[to]
-	if p.cut && (f == 2) != (t == 2) {
+	if p.partitioned && (f == 2) != (t == 2) {
 		return 0, false
 	}
 	if f == t {
-		return near, true
+		return withinRegionDelay, true
 	}
-	return p.size.far, true
+	return p.deployment.crossRegionDelay, true
 }
 
-// store plays the table, which stands in the first region.
-func (p *play) store(host int) (reached, answered bool) {
-	ok := !p.out && (!p.cut || p.region[host] != 2)
+// store simulates the reachability of the table, which is in the first region.
+func (p *trial) store(host int) (reached, answered bool) {
+	ok := !p.storeDown && (!p.partitioned || p.region[host] != 2)
 	return ok, ok
 }
 
-func (p *play) operations() uint64 {
+func (p *trial) operations() uint64 {
 	r, w := p.simulation.Table.Operations()
-	return r + w + p.fixed.operations
+	return r + w + p.baseline.operations
 }
 
-func (p *play) rowBytes() int {
+func (p *trial) rowBytes() int {
 	return len(p.simulation.Table.Read(division.RowKey).Value)
 }
 
-func (p *play) kill(place int) {
+func (p *trial) kill(place int) {
 	p.simulation.Kill(p.current[place])
 }
 
-func (p *play) killRegion(r int) {
+func (p *trial) killRegion(r int) {
 	for i, n := range p.current {
 		if p.region[n] == r {
 			p.kill(i)
@@ -149,8 +151,8 @@
 	}
 }
 
-// replace starts a process of the same name.
-func (p *play) replace(place int) {
+// replace starts a process under the same name.
+func (p *trial) replace(place int) {
 	o := p.current[place]
 	n := p.add(p.names[o], p.region[o], place%2)
 	p.current[place] = n
--- a/experiment/way.go
+++ b/experiment/way.go
@@ -7,65 +7,69 @@
 )
 
 const (
-	term     = 60 * time.Second
-	renewals = 4
+	leaseTerm       = 60 * time.Second
+	renewalsPerTerm = 4
 )
 
-// way is one way of dividing limits.
-type way struct {
+// divisionMethod is one method of dividing limits among hosts.
+type divisionMethod struct {
 	name string
-	// grants returns the grants in the place of divisions, nil for divisions.
-	grants func(f *fixed) func(host int, account string) grant.Grant
-	start  func(f *fixed)
+	// grants returns the function that replaces the grants of the divisions, nil
+	// to use the divisions.
+	grants func(f *baseline) func(host int, account string) grant.Grant
+	start  func(f *baseline)
 }
 
-var ways = []way{
-	{name: "divisions", grants: func(*fixed) func(int, string) grant.Grant { return nil }},
-	{name: "equal-parts", grants: func(f *fixed) func(int, string) grant.Grant { return f.equal }},
-	{name: "table-leases", grants: func(f *fixed) func(int, string) grant.Grant { return f.leased }, start: (*fixed).renew},
+var divisionMethods = []divisionMethod{
+	{name: "divisions", grants: func(*baseline) func(int, string) grant.Grant { return nil }},
+	{name: "equal-parts", grants: func(f *baseline) func(int, string) grant.Grant { return f.equalParts }},
+	{name: "table-leases", grants: func(f *baseline) func(int, string) grant.Grant { return f.tableLeased }, start: (*baseline).renew},
 }
 
-// fixed plays the two ways that the divisions are compared with.
-type fixed struct {
-	play       *play
+// baseline simulates the two methods that the divisions are compared with.
+type baseline struct {
+	trial      *trial
 	operations uint64
 	leases     map[int]*lease
 }
 
-// lease is a host's row: its parts, and when it was last renewed.
+// lease is the row of one host: its parts, and when it was last renewed.
 type lease struct {
 	parts map[string]float64
-	since map[string]time.Time
-	at    time.Time
+	// since is when each part last changed.
+	since     map[string]time.Time
+	renewedAt time.Time
 }
 
-// equal gives each configured host the same part for good.
-func (f *fixed) equal(int, string) grant.Grant {
-	n := f.play.simulation.Now()
+// equalParts gives each configured host the same permanent part.
+func (f *baseline) equalParts(int, string) grant.Grant {
+	n := f.trial.simulation.Now()
 	t := 0
-	for _, v := range f.play.size.perRegion {
+	for _, v := range f.trial.deployment.perRegion {
 		t += v
 	}
 	return grant.Grant{Floor: 1 / float64(t), FloorUntil: n.Add(time.Hour), FloorSince: n.Add(-time.Hour)}
 }
 
-// leased gives each host what its row in the table says, until the term ends.
-func (f *fixed) leased(host int, account string) grant.Grant {
+// tableLeased gives each host the parts of its row in the table until the term
+// ends.
+func (f *baseline) tableLeased(host int, account string) grant.Grant {
 	l := f.leases[host]
 	if l == nil {
 		return grant.Grant{}
 	}
-	return grant.Grant{Leased: l.parts[account], LeasedSince: l.since[account], LeasedUntil: l.at.Add(term)}
+	return grant.Grant{Leased: l.parts[account], LeasedSince: l.since[account], LeasedUntil: l.renewedAt.Add(leaseTerm)}
 }
 
-// renew renews all hosts' leases, four times a term.
-func (f *fixed) renew() {
-	p := f.play
+// renew renews the leases of all hosts, renewalsPerTerm times per term.
+func (f *baseline) renew() {
+	p := f.trial
 	if f.leases == nil {
 		f.leases = make(map[int]*lease)
 	}
 	n := p.simulation.Now()
-	// Twice: what some release in the first round others take in the second.
+	// Two rounds: parts that some hosts release in the first round are taken by
+	// others in the second.
 	for range 2 {
 		for i, h := range p.current {
 			r, _ := p.store(h)
@@ -73,36 +77,36 @@
 				continue
 			}
 			f.operations += 2
-			f.take(i, h, n)
+			f.takePart(i, h, n)
 		}
 	}
-	p.simulation.At(term/renewals, f.renew)
+	p.simulation.At(leaseTerm/renewalsPerTerm, f.renew)
 }
 
-// take gives a host the part that its weight asks for, as far as the rows of
-// the others leave room. The weights are those of the load itself, better than
-// any measurement.
-func (f *fixed) take(place, host int, now time.Time) {
+// takePart gives a host the part that corresponds to its weight, as far as the
+// rows of the others leave room. The weights are those of the generated load,
+// which is better than any measurement.
+func (f *baseline) takePart(place, host int, now time.Time) {
 	l := f.leases[host]
-	if l == nil || now.Sub(l.at) >= term {
+	if l == nil || now.Sub(l.renewedAt) >= leaseTerm {
 		l = &lease{parts: make(map[string]float64), since: make(map[string]time.Time)}
 		f.leases[host] = l
 	}
-	f.play.simulation.Quota(host).Sync()
-	l.at = now
-	for i, a := range f.play.config.Accounts {
+	f.trial.simulation.Quota(host).Sync()
+	l.renewedAt = now
+	for i, a := range f.trial.config.Accounts {
 		s, w := 0.0, 0.0
-		for k := range f.play.simulation.Len() {
-			if v := f.leases[k]; v != nil && k != host && now.Sub(v.at) < term {
+		for k := range f.trial.simulation.Len() {
+			if v := f.leases[k]; v != nil && k != host && now.Sub(v.renewedAt) < leaseTerm {
 				s += v.parts[a.Name]
 			}
 		}
-		for k, v := range f.play.weights[i] {
-			if h := f.play.current[k]; h == host || f.leases[h] != nil && now.Sub(f.leases[h].at) < term {
+		for k, v := range f.trial.weights[i] {
+			if h := f.trial.current[k]; h == host || f.leases[h] != nil && now.Sub(f.leases[h].renewedAt) < leaseTerm {
 				w += v
 			}
 		}
-		t := min(f.play.weights[i][place]/w, 1-s)
+		t := min(f.trial.weights[i][place]/w, 1-s)
 		if t != l.parts[a.Name] {
 			l.parts[a.Name] = max(t, 0)
 			l.since[a.Name] = now
--- a/simulation/node.go
+++ b/simulation/node.go
@@ -19,75 +19,77 @@
 	"celeryreach.example/celeryreach/quota"
 )
 
-// loanFor is how long the experiment's loans last.
-const loanFor = 250 * time.Millisecond
+// loanDuration is how long loans last in the simulation.
+const loanDuration = 250 * time.Millisecond
 
-// node is one process.
+// node is one simulated process.
 type node struct {
-	simulation *Simulation
-	number     int
-	self       holder.Holder
-	clock      *clock
-	dead       bool
-	died       time.Time
-	leaving    bool
-	paused     bool
-	late       []func()
-	holding    *holding.Holding
-	author     *author.Author
-	quota      *quota.Quota
-	demand     *demand.Demand
-	told       time.Time
-	// known is what the last heartbeat told of others.
-	known []holder.Holder
-	heard map[string]contact
+	simulation       *Simulation
+	number           int
+	self             holder.Holder
+	clock            *clock
+	dead             bool
+	diedAt           time.Time
+	leaving          bool
+	paused           bool
+	deferred         []func() // calls that run after the pause
+	holding          *holding.Holding
+	author           *author.Author
+	quota            *quota.Quota
+	demand           *demand.Demand
+	demandReportedAt time.Time
+	// aliveAtHeartbeat are the processes that the last heartbeat reported as
+	// alive.
+	aliveAtHeartbeat []holder.Holder
+	contacts         map[string]contact
 }
 
-// contact is what was last heard of a host.
+// contact is the newest heartbeat received from a host.
 type contact struct {
-	holder holder.Holder
-	number int
-	at     time.Time
-	known  []holder.Holder
-	leaves bool
+	holder     holder.Holder
+	number     int
+	receivedAt time.Time
+	alive      []holder.Holder
+	leaving    bool
 }
 
-// message is a heartbeat or its answer.
-type message struct {
-	from   *node
-	epoch  uint64
-	leaves bool
-	known  []holder.Holder
-	demand map[string]float64
+// heartbeat is a heartbeat message or the response to one.
+type heartbeat struct {
+	from    *node
+	epoch   uint64
+	leaving bool
+	alive   []holder.Holder
+	demand  map[string]float64
 }
 
 func newNode(f *Simulation, number int, name, domain, region string, speed float64) *node {
 	c := &clock{FakeClock: clockwork.NewFakeClockAt(f.now), began: f.now, speed: speed}
 	n := &node{
-		simulation: f, number: number, clock: c, heard: make(map[string]contact),
+		simulation: f, number: number, clock: c, contacts: make(map[string]contact),
 		self: holder.Holder{Name: name, Incarnation: uint64(number + 1), Domain: domain, Region: region},
 	}
-	n.quota = &quota.Quota{Clock: c, Account: n.account, Grant: n.grant, Hold: f.Hold, Borrow: n.borrow}
+	n.quota = &quota.Quota{Clock: c, Account: n.account, Grant: n.grant, Hold: f.Hold, Borrow: n.startLoanRequest}
 	n.holding = &holding.Holding{
 		Clock: c, Self: n.self, Hold: f.Hold, StoreHold: f.StoreHold, Every: f.Heartbeat, Changing: n.quota.Sync,
-		Owed: loanFor + loanFor/10,
+		Owed: loanDuration + loanDuration/10,
 	}
 	n.demand = &demand.Demand{Clock: c, Hold: f.Hold, Account: n.account}
 	n.author = &author.Author{
-		Clock: c, Log: f.logger, Platform: f.platform(number), Holding: n.holding, Alive: n.alive,
+		Clock: c, Log: f.logger, Platform: f.storeFor(number), Holding: n.holding, Alive: n.alive,
 		Config: func() *config.Config { return f.Config }, Demand: n.demand.Fractions, Listed: f.listed, Every: f.Poll, Least: f.Least,
 	}
 	return n
 }
 
-// Holding returns a process's holding, with its clock set.
+// Holding returns the holding of a process, with its clock set to the current
+// time.
 func (f *Simulation) Holding(host int) *holding.Holding {
 	n := f.nodes[host]
 	n.clock.set(f.now)
 	return n.holding
 }
 
-// Quota returns a process's quota, with its clock set.
+// Quota returns the quota of a process, with its clock set to the current time.
 func (f *Simulation) Quota(host int) *quota.Quota {
 	n := f.nodes[host]
 	n.clock.set(f.now)
@@ -110,82 +112,84 @@
 	return g
 }
 
-// do runs g on the process: never when it is dead, later when it is paused.
-func (n *node) do(g func()) {
+// execute runs g on the process: never if it is dead, after the pause if it is
+// paused.
+func (n *node) execute(g func()) {
 	if n.dead {
 		return
 	}
 	if n.paused {
-		n.late = append(n.late, func() { n.do(g) })
+		n.deferred = append(n.deferred, func() { n.execute(g) })
 		return
 	}
 	n.clock.set(n.simulation.now)
 	g()
 }
 
-// beat exchanges heartbeats with all others.
-func (n *node) beat() {
-	n.do(func() {
+// sendHeartbeats exchanges heartbeats with all other processes.
+func (n *node) sendHeartbeats() {
+	n.execute(func() {
 		n.holding.Tick()
-		n.known = n.near()
-		n.report()
+		n.aliveAtHeartbeat = n.directlyAlive()
+		n.reportDemand()
 		for _, p := range n.simulation.nodes {
 			if p != n && !p.dead {
-				n.exchange(p)
+				n.exchangeHeartbeats(p)
 			}
 		}
-		n.fetch()
-		n.simulation.at(n.simulation.Heartbeat, n.beat)
+		n.fetchDivision()
+		n.simulation.schedule(n.simulation.Heartbeat, n.sendHeartbeats)
 	})
 }
 
-func (n *node) report() {
+func (n *node) reportDemand() {
 	t := n.clock.Now()
-	if d := t.Sub(n.told); d >= time.Second {
-		n.told = t
+	if d := t.Sub(n.demandReportedAt); d >= time.Second {
+		n.demandReportedAt = t
 		n.demand.Note(n.self.Name, n.quota.Demands(min(d, time.Minute)))
 	}
 }
 
-func (n *node) exchange(p *node) {
+func (n *node) exchangeHeartbeats(p *node) {
 	f := n.simulation
 	f.Messages++
-	t, m := n.clock.Now(), n.message()
+	t, m := n.clock.Now(), n.newHeartbeat()
 	d, ok := f.Delay(n.number, p.number)
 	if !ok {
 		return
 	}
-	f.at(d, func() {
-		p.do(func() {
-			p.note(m, time.Time{})
-			a := p.message()
+	f.schedule(d, func() {
+		p.execute(func() {
+			p.receiveHeartbeat(m, time.Time{})
+			a := p.newHeartbeat()
 			if e, ok := f.Delay(p.number, n.number); ok {
-				f.at(e, func() { n.do(func() { n.note(a, t) }) })
+				f.schedule(e, func() { n.execute(func() { n.receiveHeartbeat(a, t) }) })
 			}
 		})
 	})
 }
 
-func (n *node) message() message {
-	return message{
-		from: n, epoch: n.holding.Report(), leaves: n.leaving, known: n.known, demand: n.demand.Of(n.self.Name),
+func (n *node) newHeartbeat() heartbeat {
+	return heartbeat{
+		from: n, epoch: n.holding.Report(), leaving: n.leaving, alive: n.aliveAtHeartbeat, demand: n.demand.Of(n.self.Name),
 	}
 }
 
-func (n *node) note(m message, sent time.Time) {
-	n.heard[m.from.self.Name] = contact{holder: m.from.self, number: m.from.number, at: n.clock.Now(), known: m.known, leaves: m.leaves}
+func (n *node) receiveHeartbeat(m heartbeat, sent time.Time) {
+	n.contacts[m.from.self.Name] = contact{holder: m.from.self, number: m.from.number, receivedAt: n.clock.Now(), alive: m.alive, leaving: m.leaving}
 	n.demand.Note(m.from.self.Name, m.demand)
 	e := m.epoch
 	if n.simulation.Report != nil {
 		e = n.simulation.Report(e, n.holding.Epoch())
 	}
 	n.holding.Heard(m.from.self.Name, m.from.self.Incarnation, e, sent)
-	n.fetch()
+	n.fetchDivision()
 }
 
-// fetch takes a newer division from whoever has it. The content travels with
-// the next message that arrives, without a delay of its own.
-func (n *node) fetch() {
+// fetchDivision takes a newer division from any reachable process that has one.
+// Its content is transferred without additional delay, as part of the message
+// that is being processed.
+func (n *node) fetchDivision() {
 	if n.holding.Wanted() <= n.holding.Epoch() {
 		return
 	}
@@ -202,30 +206,30 @@
 	}
 }
 
-// poll reads the table. The answer can come late.
-func (n *node) poll() {
-	n.do(func() {
+// pollTable reads the table. The response can be delayed.
+func (n *node) pollTable() {
+	n.execute(func() {
 		f := n.simulation
 		t := n.clock.Now()
-		if d, ok := f.late(n.number); ok {
+		if d, ok := f.readLate(n.number); ok {
 			if e, ok := f.Delay(n.number, n.number); ok {
-				f.at(e, func() { n.do(func() { n.holding.Learn(d, t) }) })
+				f.schedule(e, func() { n.execute(func() { n.holding.Learn(d, t) }) })
 			}
 		}
 		n.author.Step(context.Background())
-		f.at(f.Poll, n.poll)
+		f.schedule(f.Poll, n.pollTable)
 	})
 }
 
-// near returns the processes that this one heard itself within Hold, and that
-// do not leave.
-func (n *node) near() []holder.Holder {
+// directlyAlive returns this process and those that sent it a heartbeat within
+// Hold, without processes that shut down.
+func (n *node) directlyAlive() []holder.Holder {
 	var r []holder.Holder
 	if !n.leaving {
 		r = append(r, n.self)
 	}
-	for _, c := range n.heard {
-		if !c.leaves && n.clock.Since(c.at) <= n.simulation.Hold {
+	for _, c := range n.contacts {
+		if !c.leaving && n.clock.Since(c.receivedAt) <= n.simulation.Hold {
 			r = append(r, c.holder)
 		}
 	}
@@ -233,15 +237,16 @@
 	return r
 }
 
-// alive returns those and what they have heard in their turn.
+// alive returns the processes of directlyAlive and those that they reported as
+// alive.
 func (n *node) alive() []holder.Holder {
 	m := map[string]holder.Holder{}
-	for _, c := range n.heard {
-		if n.clock.Since(c.at) > n.simulation.Hold {
+	for _, c := range n.contacts {
+		if n.clock.Since(c.receivedAt) > n.simulation.Hold {
 			continue
 		}
-		for _, h := range c.known {
-			if c := n.heard[h.Name]; c.leaves && c.holder == h {
+		for _, h := range c.alive {
+			if c := n.contacts[h.Name]; c.leaving && c.holder == h {
 				continue
 			}
 			if h.Incarnation > m[h.Name].Incarnation {
@@ -249,7 +254,7 @@
 			}
 		}
 	}
-	for _, h := range n.near() {
+	for _, h := range n.directlyAlive() {
 		if h.Incarnation >= m[h.Name].Incarnation {
 			m[h.Name] = h
 		}
@@ -262,21 +267,23 @@
 	return r
 }
 
-// borrow asks other hosts in turn, as package loan does with sockets.
-func (n *node) borrow(name string, units uint64) {
-	n.simulation.at(0, func() {
-		n.do(func() { n.ask(name, units, n.lenders(name)) })
+// startLoanRequest requests tokens from other hosts one after another, like
+// package loan does over the network.
+func (n *node) startLoanRequest(name string, units uint64) {
+	n.simulation.schedule(0, func() {
+		n.execute(func() { n.requestLoan(name, units, n.lenders(name)) })
 	})
 }
 
-func (n *node) ask(name string, units uint64, l []*node) {
+func (n *node) requestLoan(name string, units uint64, l []*node) {
 	if len(l) == 0 {
 		n.quota.Receive(name, units, 0, time.Time{})
 		return
 	}
 	f, p, t := n.simulation, l[0], n.clock.Now()
 	f.Messages++
-	// Without an answer the next one is asked when the loan would have ended.
+	// If no response arrives, the next lender is tried when the loan would have
+	// ended.
 	a := false
 	v := func(u uint64, d time.Duration) {
 		if a {
@@ -284,34 +291,35 @@
 		}
 		a = true
 		if u == 0 {
-			n.ask(name, units, l[1:])
+			n.requestLoan(name, units, l[1:])
 			return
 		}
 		n.quota.Receive(name, units, u, t.Add(d-d/50))
 	}
-	f.at(loanFor, func() { n.do(func() { v(0, 0) }) })
+	f.schedule(loanDuration, func() { n.execute(func() { v(0, 0) }) })
 	d, ok := f.Delay(n.number, p.number)
 	if !ok {
 		return
 	}
-	f.at(d, func() {
-		p.do(func() {
-			u, x := p.quota.Lend(name, units, loanFor)
+	f.schedule(d, func() {
+		p.execute(func() {
+			u, x := p.quota.Lend(name, units, loanDuration)
 			if f.Lent != nil {
 				f.Lent(p.quota, name, u)
 			}
 			if e, ok := f.Delay(p.number, n.number); ok {
-				f.at(e, func() { n.do(func() { v(u, x) }) })
+				f.schedule(e, func() { n.execute(func() { v(u, x) }) })
 			}
 		})
 	})
 }
 
-// lenders returns whom to ask among those that were heard lately.
+// lenders returns the hosts to request a loan from, among those with a recent
+// heartbeat.
 func (n *node) lenders(name string) []*node {
 	var l []holder.Holder
-	for _, h := range n.near() {
-		if c, ok := n.heard[h.Name]; ok && n.clock.Since(c.at) <= n.simulation.Heartbeat*3 {
+	for _, h := range n.directlyAlive() {
+		if c, ok := n.contacts[h.Name]; ok && n.clock.Since(c.receivedAt) <= n.simulation.Heartbeat*3 {
 			l = append(l, h)
 		}
 	}
@@ -320,7 +328,7 @@
 	var p []*node
 	for _, h := range loan.Lenders(n.self, l, d, r, n.demand.Fractions()[r]) {
 		if len(p) < loan.Tries {
-			p = append(p, n.simulation.nodes[n.heard[h.Name].number])
+			p = append(p, n.simulation.nodes[n.contacts[h.Name].number])
 		}
 	}
 	return p
--- a/simulation/script_test.go
+++ b/simulation/script_test.go
@@ -12,20 +12,20 @@
 	"celeryreach.example/celeryreach/table"
 )
 
-// stage is the simulation of one script: three failure domains, d0 and d1 in region
-// r0, d2 in r1, account "a" with 40 requests per second and a burst of 20, and
-// floors of half of each limit.
-type stage struct {
+// scriptState is the simulation of one script: three failure domains, d0 and d1
+// in region r0 and d2 in r1, account "a" with 40 requests per second and a
+// burst of 20, and floors of half of each limit.
+type scriptState struct {
 	*simulation.Simulation
-	numbers map[string]int
-	domains []string
-	cut     map[string]bool
-	out     map[string]bool
-	lose    bool
+	numbers       map[string]int
+	domains       []string
+	partitioned   map[string]bool
+	storeDown     map[string]bool
+	loseResponses bool
 }
 
-func newStage() *stage {
-	s := &stage{numbers: make(map[string]int), cut: make(map[string]bool), out: make(map[string]bool)}
+func newScriptState() *scriptState {
+	s := &scriptState{numbers: make(map[string]int), partitioned: make(map[string]bool), storeDown: make(map[string]bool)}
 	s.Simulation = &simulation.Simulation{
 		Hold: hold, StoreHold: time.Hour, Heartbeat: 200 * time.Millisecond, Poll: time.Second, Least: 2 * time.Second,
 		Config: newConfig(0.5, domains), Table: new(table.Table), Random: rand.New(rand.NewPCG(1, 1)), Delay: s.delay, Store: s.store,
@@ -33,15 +33,15 @@
 	return s
 }
 
-func (s *stage) delay(from, to int) (time.Duration, bool) {
-	return time.Millisecond, s.cut[s.domains[from]] == s.cut[s.domains[to]]
+func (s *scriptState) delay(from, to int) (time.Duration, bool) {
+	return time.Millisecond, s.partitioned[s.domains[from]] == s.partitioned[s.domains[to]]
 }
 
-func (s *stage) store(host int) (reached, answered bool) {
-	return !s.out[s.domains[host]] && !s.out["all"], !s.lose
+func (s *scriptState) store(host int) (reached, answered bool) {
+	return !s.storeDown[s.domains[host]] && !s.storeDown["all"], !s.loseResponses
 }
 
-func (s *stage) host(ts *testscript.TestScript, name string) int {
+func (s *scriptState) host(ts *testscript.TestScript, name string) int {
 	n, ok := s.numbers[name]
 	if !ok {
 		ts.Fatalf("no host %s", name)
@@ -49,13 +49,13 @@
 	return n
 }
 
-// Each file of testdata is one scenario. Its first lines tell what callers see,
-// what happens in what order, and why.
+// Each file of testdata is one scenario. Its first lines describe what callers
+// observe, the order of events, and the reason.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(e *testscript.Env) error {
-			e.Values["stage"] = newStage()
+			e.Values["stage"] = newScriptState()
 			return nil
 		},
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
@@ -65,13 +65,13 @@
 	})
 }
 
-func on(ts *testscript.TestScript) *stage {
-	return ts.Value("stage").(*stage)
+func stateOf(ts *testscript.TestScript) *scriptState {
+	return ts.Value("stage").(*scriptState)
 }
 
 // host NAME DOMAIN REGION [SPEED] starts a process.
 func host(ts *testscript.TestScript, _ bool, a []string) {
-	s, v := on(ts), 1.0
+	s, v := stateOf(ts), 1.0
 	if len(a) > 3 {
 		v = number(ts, a[3])
 	}
@@ -79,71 +79,73 @@
 	s.numbers[a[0]] = s.Add(a[0], a[1], a[2], v)
 }
 
-// run DURATION lets time pass.
+// run DURATION advances the simulated time.
 func run(ts *testscript.TestScript, _ bool, a []string) {
 	d, err := time.ParseDuration(a[0])
 	ts.Check(err)
-	on(ts).Run(d)
+	stateOf(ts).Run(d)
 }
 
-// end NAME ends a process without a word.
+// end NAME ends a process without an announcement.
 func end(ts *testscript.TestScript, _ bool, a []string) {
-	on(ts).Kill(on(ts).host(ts, a[0]))
+	stateOf(ts).Kill(stateOf(ts).host(ts, a[0]))
 }
 
-// leave NAME lets a process tell the others that it shuts down.
+// leave NAME makes a process announce to the others that it shuts down.
 func leave(ts *testscript.TestScript, _ bool, a []string) {
-	on(ts).Leave(on(ts).host(ts, a[0]))
+	stateOf(ts).Leave(stateOf(ts).host(ts, a[0]))
 }
 
-// pause NAME, resume NAME stop a process and let it go on.
+// pause NAME and resume NAME pause and resume a process.
 func pause(ts *testscript.TestScript, _ bool, a []string) {
-	s := on(ts)
+	s := stateOf(ts)
 	n := s.host(ts, a[0])
 	s.Pause(n, s.Runs(n))
 }
 
-// cut DOMAIN separates a failure domain from the others, not from the table.
+// cut DOMAIN separates a failure domain from the others, but not from the
+// table.
 func cut(ts *testscript.TestScript, _ bool, a []string) {
-	on(ts).cut[a[0]] = true
+	stateOf(ts).partitioned[a[0]] = true
 }
 
-// heal ends all cuts.
+// heal ends all partitions.
 func heal(ts *testscript.TestScript, _ bool, _ []string) {
-	on(ts).cut = make(map[string]bool)
+	stateOf(ts).partitioned = make(map[string]bool)
 }
 
-// store out|in|lose|answer [DOMAIN] sets what happens to calls of the table.
+// store out|in|lose|answer [DOMAIN] sets the result of calls to the table.
 func store(ts *testscript.TestScript, _ bool, a []string) {
-	s, d := on(ts), "all"
+	s, d := stateOf(ts), "all"
 	if len(a) > 1 {
 		d = a[1]
 	}
 	switch a[0] {
 	case "out", "in":
-		s.out[d] = a[0] == "out"
+		s.storeDown[d] = a[0] == "out"
 	default:
-		s.lose = a[0] == "lose"
+		s.loseResponses = a[0] == "lose"
 	}
 }
 
-// floors FRACTION accepts a configuration with other floors.
+// floors FRACTION sets a configuration with another floor fraction.
 func floors(ts *testscript.TestScript, _ bool, a []string) {
-	on(ts).Config = newConfig(number(ts, a[0]), domains)
+	stateOf(ts).Config = newConfig(number(ts, a[0]), domains)
 }
 
-// part NAME LIMIT VALUE checks what a host may use now, to 1%.
+// part NAME LIMIT VALUE checks the fraction that a host may use, with a
+// tolerance of 1%.
 func partIs(ts *testscript.TestScript, neg bool, a []string) {
-	s := on(ts)
+	s := stateOf(ts)
 	v, w := s.Holding(s.host(ts, a[0])).Part(a[1]), number(ts, a[2])
 	if ok := v > w-0.01 && v < w+0.01; ok == neg {
 		ts.Fatalf("%s uses %.4f of %s", a[0], v, a[1])
 	}
 }
 
-// epoch NAME N checks which division a host is on.
+// epoch NAME N checks the epoch of a host.
 func epoch(ts *testscript.TestScript, neg bool, a []string) {
-	s := on(ts)
+	s := stateOf(ts)
 	if e := s.Holding(s.host(ts, a[0])).Epoch(); (strconv.FormatUint(e, 10) == a[1]) == neg {
 		ts.Fatalf("%s is on epoch %d", a[0], e)
 	}
@@ -151,16 +153,16 @@
 
 // slots NAME LIMIT TOTAL COUNT checks how many slots a host may use.
 func slotsAre(ts *testscript.TestScript, neg bool, a []string) {
-	s := on(ts)
+	s := stateOf(ts)
 	n := len(s.Holding(s.host(ts, a[0])).Slots(a[1], int(number(ts, a[2]))))
 	if (n == int(number(ts, a[3]))) == neg {
 		ts.Fatalf("%s uses %d slots of %s", a[0], n, a[1])
 	}
 }
 
-// admit NAME OFFERED ADMITTED sends requests of account "a" at once.
+// admit NAME OFFERED ADMITTED sends requests of account "a" without waiting.
 func admit(ts *testscript.TestScript, neg bool, a []string) {
-	s, n := on(ts), 0
+	s, n := stateOf(ts), 0
 	q := s.Quota(s.host(ts, a[0]))
 	for range int(number(ts, a[1])) {
 		if q.Take("a") {
--- a/simulation/simulation.go
+++ b/simulation/simulation.go
@@ -1,6 +1,6 @@
-// Package simulation plays many hosts' limits in one goroutine, with clocks,
-// messages and a table of its own, for the experiment and for property tests.
-// The decisions are those of the packages that hosts run.
+// Package simulation runs the limits of many hosts in one goroutine, with
+// simulated clocks, messages and table, for the experiment and for property
+// tests. The decisions are made by the same packages that real hosts run.
 package simulation
 
 import (
@@ -27,61 +27,65 @@
 	"celeryreach.example/celeryreach/table"
 )
 
-// listLag is how long the list of hosts names a dead process.
-const listLag = 10 * time.Second
+// hostListLag is how long the platform's list of hosts still contains a dead
+// process.
+const hostListLag = 10 * time.Second
 
-var errOutage = errors.New("the platform does not answer")
+var errOutage = errors.New("store unavailable")
 
-// Simulation is a number of hosts and the faults between them. Calls must come from
-// one goroutine.
+// Simulation is a set of hosts and the faults between them. It must be used
+// from one goroutine only.
 type Simulation struct {
 	// Hold, StoreHold, Heartbeat and Poll are set in every host.
 	Hold      time.Duration
 	StoreHold time.Duration
 	Heartbeat time.Duration
 	Poll      time.Duration
-	// Least is the least time between epochs that follow the demand.
+	// Least is the minimum time between epochs that only adjust parts to demand.
 	Least time.Duration
-	// Config is the configuration in force everywhere.
+	// Config is the configuration in force on all hosts.
 	Config *config.Config
 	// Table is the platform's table.
 	Table *table.Table
-	// Random draws delays.
+	// Random is the source for delays.
 	Random *rand.Rand
-	// Delay returns how long a message takes, and whether it arrives.
+	// Delay returns the delay of a message and whether it arrives.
 	Delay func(from, to int) (time.Duration, bool)
-	// Store reports whether a host's call reaches the table now, and whether
-	// the answer comes back.
+	// Store reports whether a call of a host reaches the table at the moment,
+	// and whether the response arrives.
 	Store func(host int) (reached, answered bool)
-	// Grant, Report and Lent are seams at which tests break the rule on
-	// purpose: the grant that a quota sees, the epoch that a peer reports, and
-	// what a lender does after a loan. Nil leaves the rule whole.
+	// Grant, Report and Lent are hooks with which tests break the rule of
+	// package holding on purpose. Grant changes the grant that a quota receives, Report changes the
+	// epoch that a peer reports, and Lent runs on the lender after each loan.
+	// Nil hooks change nothing.
 	Grant  func(g grant.Grant) grant.Grant
 	Report func(reported, own uint64) uint64
 	Lent   func(q *quota.Quota, name string, units uint64)
-	// LateReads adds readings of the table whose answers come late.
+	// LateReads adds reads of the table whose responses are delayed.
 	LateReads bool
-	// Fixed gives the grants in the place of divisions; then hosts exchange
-	// nothing. It is for what the divisions are compared with.
+	// Fixed returns grants that replace those of the divisions; hosts then
+	// exchange no heartbeats. It is used for the methods that the divisions are
+	// compared with.
 	Fixed func(host int, account string) grant.Grant
-	// Messages counts heartbeats and loans, answers not counted.
+	// Messages counts heartbeats and loan requests, without the responses.
 	Messages int
 
-	now    time.Time
-	events events
-	serial int
-	nodes  []*node
-	logger *log.Logger
-	// The accounts of the configuration that was indexed last.
-	indexed *config.Config
-	index   map[string]account.Account
-	// The newest row that was decoded.
+	now      time.Time
+	events   events
+	sequence int
+	nodes    []*node
+	logger   *log.Logger
+	// indexedConfig is the configuration from which accountsByName was built.
+	indexedConfig  *config.Config
+	accountsByName map[string]account.Account
+	// version and division are the newest row that was decoded.
 	version  uint64
 	division division.Division
 }
 
-// Add starts a process and returns its number. Speed is how fast its clock
-// runs; a process of a name that was used before replaces nobody: Kill does.
+// Add starts a process and returns its number. Speed is the speed of its clock
+// relative to exact time. A process under a name that is in use does not
+// replace the one before; call Kill for that.
 func (f *Simulation) Add(name, domain, region string, speed float64) int {
 	if f.now.IsZero() {
 		f.now = time.Unix(1_000_000, 0)
@@ -92,49 +96,49 @@
 	if f.Fixed != nil {
 		return n.number
 	}
-	f.at(time.Duration(f.Random.Int64N(int64(f.Heartbeat))), n.beat)
-	f.at(time.Duration(f.Random.Int64N(int64(f.Poll))), n.poll)
+	f.schedule(time.Duration(f.Random.Int64N(int64(f.Heartbeat))), n.sendHeartbeats)
+	f.schedule(time.Duration(f.Random.Int64N(int64(f.Poll))), n.pollTable)
 	return n.number
 }
 
-// accounts returns the configuration's accounts by name.
+// accounts returns the accounts of the configuration by name.
 func (f *Simulation) accounts() map[string]account.Account {
-	if f.indexed != f.Config {
-		f.indexed = f.Config
-		f.index = make(map[string]account.Account)
+	if f.indexedConfig != f.Config {
+		f.indexedConfig = f.Config
+		f.accountsByName = make(map[string]account.Account)
 		for _, a := range f.Config.Accounts {
-			f.index[a.Name] = a
+			f.accountsByName[a.Name] = a
 		}
 	}
-	return f.index
+	return f.accountsByName
 }
 
-// Leave lets a process tell the others that it shuts down.
+// Leave makes a process announce to the others that it shuts down.
 func (f *Simulation) Leave(host int) {
 	f.nodes[host].leaving = true
 }
 
-// Kill ends a process without a word.
+// Kill ends a process without an announcement.
 func (f *Simulation) Kill(host int) {
 	f.nodes[host].dead = true
-	f.nodes[host].died = f.now
+	f.nodes[host].diedAt = f.now
 }
 
-// listed plays the platform's list of hosts, which lags.
+// listed simulates the platform's list of hosts, which is updated with a delay.
 func (f *Simulation) listed(h holder.Holder) bool {
 	n := f.nodes[h.Incarnation-1]
-	return !n.dead || f.now.Sub(n.died) < listLag
+	return !n.dead || f.now.Sub(n.diedAt) < hostListLag
 }
 
-// Pause stops a process; its clock goes on.
+// Pause stops or resumes a process. Its clock keeps running.
 func (f *Simulation) Pause(host int, paused bool) {
 	n := f.nodes[host]
 	n.paused = paused
 	if !paused {
-		w := n.late
-		n.late = nil
+		w := n.deferred
+		n.deferred = nil
 		for _, g := range w {
-			f.at(0, g)
+			f.schedule(0, g)
 		}
 	}
 }
@@ -149,12 +153,12 @@
 	return len(f.nodes)
 }
 
-// Now returns the time by a clock that is exact.
+// Now returns the exact simulated time.
 func (f *Simulation) Now() time.Time {
 	return f.now
 }
 
-// Run plays the events of the next d.
+// Run processes the events of the next d.
 func (f *Simulation) Run(d time.Duration) {
 	t := f.now.Add(d)
 	for len(f.events) > 0 && !f.events[0].at.After(t) {
@@ -165,18 +169,18 @@
 	f.now = t
 }
 
-// At plays g after d.
+// At runs g after d.
 func (f *Simulation) At(d time.Duration, g func()) {
-	f.at(d, g)
+	f.schedule(d, g)
 }
 
-func (f *Simulation) at(d time.Duration, g func()) {
-	f.serial++
-	heap.Push(&f.events, event{at: f.now.Add(d), serial: f.serial, run: g})
+func (f *Simulation) schedule(d time.Duration, g func()) {
+	f.sequence++
+	heap.Push(&f.events, event{at: f.now.Add(d), sequence: f.sequence, run: g})
 }
 
-// platform returns the table as one host reaches it.
-func (f *Simulation) platform(host int) store.Store {
+// storeFor returns the table as one host reaches it.
+func (f *Simulation) storeFor(host int) store.Store {
 	return store.Store{
 		Read: func(_ context.Context, key string) (row.Row, error) {
 			if r, a := f.Store(host); !r || !a {
@@ -198,8 +202,8 @@
 	}
 }
 
-// late returns the division in the table for an answer that comes late.
-func (f *Simulation) late(host int) (division.Division, bool) {
+// readLate returns the division in the table, for a response that is delayed.
+func (f *Simulation) readLate(host int) (division.Division, bool) {
 	var d division.Division
 	if !f.LateReads {
 		return d, false
@@ -220,32 +224,32 @@
 }
 
 type event struct {
-	at     time.Time
-	serial int
-	run    func()
+	at       time.Time
+	sequence int
+	run      func()
 }
 
-// events is a queue by time, then by the order of scheduling.
+// events is a queue ordered by time, then by the order of scheduling.
 type events []event
 
-// Len is for package heap.
+// Len implements heap.Interface.
 func (e events) Len() int { return len(e) }
 
-// Less is for package heap.
+// Less implements heap.Interface.
 func (e events) Less(i, j int) bool {
 	if e[i].at.Equal(e[j].at) {
-		return e[i].serial < e[j].serial
+		return e[i].sequence < e[j].sequence
 	}
 	return e[i].at.Before(e[j].at)
 }
 
-// Swap is for package heap.
+// Swap implements heap.Interface.
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push is for package heap.
+// Push implements heap.Interface.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop is for package heap.
+// Pop implements heap.Interface.
 func (e *events) Pop() any {
 	o := *e
 	n := len(o) - 1
@@ -254,8 +258,8 @@
 	return x
 }
 
-// clock is one host's clock: a fake one that is set to the simulation's time times
-// the host's speed whenever the host does something.
+// clock is the clock of one host: a fake clock that is set, whenever the host
+// runs, to the simulated time scaled by the speed of the host's clock.
 type clock struct {
 	*clockwork.FakeClock
 	began time.Time
--- a/simulation/simulation_test.go
+++ b/simulation/simulation_test.go
@@ -28,23 +28,24 @@
 	domains = 3
 )
 
-// model drives a fleet and judges it with arithmetic of its own.
+// model drives a simulation with random faults and checks it with independent
+// arithmetic.
 type model struct {
 	*simulation.Simulation
-	t      *rapid.T
-	loss   float64
-	slow   time.Duration
-	cut    [domains]bool
-	out    [domains]bool
-	lost   float64
-	domain []int
-	names  []string
-	drift  float64
-	// tokens is the account's exact bucket over all hosts, in billionths.
-	tokens   int64
-	at       time.Time
-	admitted int
-	fault    string
+	t            *rapid.T
+	messageLoss  float64
+	maxDelay     time.Duration
+	partitioned  [domains]bool
+	storeDown    [domains]bool
+	responseLoss float64
+	domain       []int
+	names        []string
+	drift        float64
+	// tokens is the exact bucket of the account over all hosts, in billionths.
+	tokens    int64
+	at        time.Time
+	admitted  int
+	violation string
 }
 
 func newModel(t *rapid.T, drift float64) *model {
@@ -78,8 +79,9 @@
 	m.Add(name, fmt.Sprintf("d%d", d), fmt.Sprintf("r%d", d/2), s)
 }
 
-// delay plays the network: hosts of one failure domain always hear each other
-// soon, all else can be lost, late or cut.
+// delay simulates the network. Hosts of one failure domain always receive each
+// other's messages quickly. All other messages can be lost, delayed or blocked
+// by a partition.
 func (m *model) delay(from, to int) (time.Duration, bool) {
 	f, t := m.domain[from], m.domain[to]
 	if from == to {
@@ -88,29 +90,29 @@
 	if f == t {
 		return time.Millisecond, true
 	}
-	if m.cut[f] != m.cut[t] || m.Random.Float64() < m.loss {
+	if m.partitioned[f] != m.partitioned[t] || m.Random.Float64() < m.messageLoss {
 		return 0, false
 	}
-	return time.Duration(m.Random.Int64N(int64(m.slow + time.Millisecond))), true
+	return time.Duration(m.Random.Int64N(int64(m.maxDelay + time.Millisecond))), true
 }
 
 func (m *model) store(host int) (reached, answered bool) {
-	if m.out[m.domain[host]] {
+	if m.storeDown[m.domain[host]] {
 		return false, false
 	}
-	return true, m.Random.Float64() >= m.lost
+	return true, m.Random.Float64() >= m.responseLoss
 }
 
-// act plays one drawn event.
-func (m *model) act() {
+// applyRandomFault applies one randomly drawn event.
+func (m *model) applyRandomFault() {
 	h := rapid.IntRange(0, m.Len()-1).Draw(m.t, "host")
 	switch rapid.IntRange(0, 9).Draw(m.t, "act") {
 	case 0:
-		m.loss = float64(rapid.IntRange(0, 5).Draw(m.t, "loss")) / 10
+		m.messageLoss = float64(rapid.IntRange(0, 5).Draw(m.t, "loss")) / 10
 	case 1:
-		m.cut[m.domain[h]] = !m.cut[m.domain[h]]
+		m.partitioned[m.domain[h]] = !m.partitioned[m.domain[h]]
 	case 2:
-		m.out[m.domain[h]] = !m.out[m.domain[h]]
+		m.storeDown[m.domain[h]] = !m.storeDown[m.domain[h]]
 	case 3:
 		m.Pause(h, m.Runs(h))
 		m.check()
@@ -120,13 +122,13 @@
 			m.add(m.names[h], m.domain[h])
 		}
 	case 5:
-		m.lost = float64(rapid.IntRange(0, 8).Draw(m.t, "lost")) / 10
+		m.responseLoss = float64(rapid.IntRange(0, 8).Draw(m.t, "lost")) / 10
 	case 6:
-		m.slow = time.Duration(rapid.IntRange(0, 4).Draw(m.t, "slow")) * time.Second
+		m.maxDelay = time.Duration(rapid.IntRange(0, 4).Draw(m.t, "slow")) * time.Second
 	case 7:
 		m.Config = newConfig(float64(rapid.IntRange(1, 8).Draw(m.t, "floor"))/10, domains-rapid.IntRange(0, 1).Draw(m.t, "gone"))
 	case 8:
-		m.cut, m.out, m.loss, m.lost, m.slow = [domains]bool{}, [domains]bool{}, 0, 0, 0
+		m.partitioned, m.storeDown, m.messageLoss, m.responseLoss, m.maxDelay = [domains]bool{}, [domains]bool{}, 0, 0, 0
 	default:
 		if m.Len() < 20 {
 			m.add(fmt.Sprintf("host-%d", m.Len()+10), m.domain[h])
@@ -134,25 +136,26 @@
 	}
 }
 
-// play runs a drawn schedule and stops at the first fault.
-func (m *model) play(load bool) {
+// runSchedule runs a randomly drawn schedule and stops at the first violation.
+func (m *model) runSchedule(load bool) {
 	m.Run(8 * time.Second)
 	for range rapid.IntRange(1, 12).Draw(m.t, "acts") {
-		m.act()
+		m.applyRandomFault()
 		for range rapid.IntRange(1, 60).Draw(m.t, "steps") {
 			m.Run(step)
 			m.check()
 			if load {
 				m.load()
 			}
-			if m.fault != "" {
+			if m.violation != "" {
 				return
 			}
 		}
 	}
 }
 
-// check adds up what the running hosts may use at this moment.
+// check verifies that no two running hosts may use the same slot at the moment,
+// and that their parts of the rate do not exceed the limit.
 func (m *model) check() {
 	s, sum := make(map[string]int), 0.0
 	for i := range m.Len() {
@@ -167,18 +170,18 @@
 				k := fmt.Sprint(l, " ", k)
 				s[k]++
 				if s[k] > 1 {
-					m.fault = k + " has two users"
+					m.violation = k + " has two users"
 				}
 			}
 		}
 	}
 	if sum > 1 {
-		m.fault = fmt.Sprintf("the parts add up to %v", sum)
+		m.violation = fmt.Sprintf("the parts add up to %v", sum)
 	}
 }
 
-// load takes all that each host gives, with requests that wait, and counts it
-// against the account's limits.
+// load uses all tokens that each host grants, also with requests that wait, and
+// counts them against the limits of the account.
 func (m *model) load() {
 	n := m.Now()
 	m.tokens = min(burst*int64(time.Second), m.tokens+rate*int64(n.Sub(m.at)))
@@ -219,35 +222,36 @@
 	m.admitted++
 	m.tokens -= int64(time.Second)
 	if m.tokens < 0 {
-		m.fault = fmt.Sprintf("request %d is above rate and burst", m.admitted)
+		m.violation = fmt.Sprintf("request %d is above rate and burst", m.admitted)
 	}
 }
 
-// Callers of one account send through all hosts while hosts are lost, paused
-// and replaced, domains are cut off and heal, the table fails or loses answers
-// and floors change. At no moment may two hosts use the same slot or the parts
-// of a rate exceed the whole, since each host decides alone.
+// Callers of one account send requests through all hosts while hosts are lost,
+// paused and replaced, network partitions begin and end, the table fails or
+// loses responses, and floors change. Since each host decides alone, at no time
+// may two hosts use the same slot, nor may the parts of a rate exceed the
+// limit.
 func TestPartsAreDisjoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 0.01)
-		m.play(false)
-		must.Eq(t, "", m.fault)
+		m.runSchedule(false)
+		must.Eq(t, "", m.violation)
 	})
 }
 
-// Under the same faults, no window of time may see more requests admitted than
-// burst and rate allow, over all hosts together and with tokens on loan.
+// Under the same faults, no more requests may be admitted in any window of time
+// than burst and rate allow, over all hosts together and with tokens on loan.
 func TestRateAndBurst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 0.001)
-		m.play(true)
-		must.Eq(t, "", m.fault)
+		m.runSchedule(true)
+		must.Eq(t, "", m.violation)
 	})
 }
 
-// The same judge must find each fault that the rule exists to prevent: a loan
-// that stays in the lender's bucket, a part that is used after it lapsed, and
-// an increase that is used before the others let go.
+// The same checks must detect each fault that the rule prevents: a loan that is
+// not deducted from the lender's bucket, a part that is used after it lapsed,
+// and an increase that is used before the other hosts stopped using it.
 func TestJudgeFindsBrokenRules(t *testing.T) {
 	broken := map[string]func(m *model){
 		"loan not deducted": func(m *model) {
@@ -274,8 +278,8 @@
 			g := rapid.Custom(func(t *rapid.T) string {
 				m := newModel(t, 0.001)
 				b(m)
-				m.play(true)
-				return m.fault
+				m.runSchedule(true)
+				return m.violation
 			})
 			for i := range 400 {
 				if g.Example(i) != "" {
