--- a/burn/burn.go
+++ b/burn/burn.go
@@ -1,4 +1,4 @@
-// Package burn counts on each host how requests ended, for the burn report.
+// Package burn counts how requests ended on a host, for the burn report.
 package burn
 
 import (
@@ -18,81 +18,85 @@
 )
 
 const (
-	// keepTallies is the longest window of the report.
-	keepTallies = 6 * time.Hour
-	// keepRates bounds what the replay against rates can look back on.
-	keepRates   = time.Hour
-	sampleEvery = time.Second
-	// Latencies are kept for the last hour in pieces of five minutes.
-	latencyPieces = 12
-	latencyPiece  = 5 * time.Minute
-	maxLatency    = int64(10 * time.Minute / time.Microsecond)
-	precision     = 2
+	// tallyRetention is the longest window of the report.
+	tallyRetention = 6 * time.Hour
+	// rateRetention limits how far back the report can replay requests against
+	// an account's rate.
+	rateRetention  = time.Hour
+	sampleInterval = time.Second
+	// Latencies of the last hour are kept in windows of five minutes.
+	latencyWindowCount = 12
+	latencyWindow      = 5 * time.Minute
+	maxLatencyMicros   = int64(10 * time.Minute / time.Microsecond)
+	latencyDigits      = 2
 )
 
-// Burn is the counts of one host. They are in memory only; package keep hands
-// them on.
+// Burn holds the counts of one host. They are in memory only; package keep
+// copies them to the platform.
 type Burn struct {
 	// Clock is the host's clock.
 	Clock clockwork.Clock
-	// Self is the host.
+	// Self identifies this host.
 	Self member.Member
-	// Latency returns the objective's latency of a service, zero if there is
-	// no objective.
+	// Latency returns the latency objective of a service, or zero if it has none.
 	Latency func(service string) time.Duration
-	// Loads returns the slots of the services now.
+	// Loads returns the current slots of all services.
 	Loads func() []*wire.Load
 
-	mu        sync.Mutex
-	tallies   map[cell]*tally.Tally
-	seconds   map[tick]*second.Second
-	usages    map[cell]*usage.Usage
-	drains    []drained.Drained
-	latencies map[string]*hdrhistogram.WindowedHistogram
-	rotated   time.Time
-	expired   int64
+	mu           sync.Mutex
+	tallies      map[minuteKey]*tally.Tally
+	seconds      map[secondKey]*second.Second
+	usages       map[minuteKey]*usage.Usage
+	drains       []drained.Drained
+	latencies    map[string]*hdrhistogram.WindowedHistogram
+	lastRotation time.Time
+	// lastExpiryMinute is in minutes since the Unix epoch.
+	lastExpiryMinute int64
 }
 
-type cell struct {
+// minuteKey identifies the counts of one minute. The account is empty for slot
+// usage.
+type minuteKey struct {
 	minute           int64
 	account, service string
 }
 
-type tick struct {
+// secondKey identifies the rate counts of an account in one second.
+type secondKey struct {
 	second  int64
 	account string
 }
 
-// Run samples the slots and drops what is too old, until ctx ends.
+// Run samples the slots and removes expired counts until ctx ends.
 func (b *Burn) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-b.Clock.After(sampleEvery):
+		case <-b.Clock.After(sampleInterval):
 		}
 		l := b.Loads()
 		b.mu.Lock()
-		b.sample(l)
+		b.sampleUsage(l)
 		b.expire()
 		b.mu.Unlock()
 	}
 }
 
-// Drained counts a drain that ended.
+// Drained records a completed drain.
 func (b *Burn) Drained(backend string, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drains = append(b.drains, drained.Drained{At: b.Clock.Now().UTC(), Backend: backend, Took: took})
 }
 
-func (b *Burn) sample(l []*wire.Load) {
+func (b *Burn) sampleUsage(l []*wire.Load) {
 	if b.usages == nil {
-		b.usages = make(map[cell]*usage.Usage)
+		b.usages = make(map[minuteKey]*usage.Usage)
 	}
-	m := minute(b.Clock.Now())
+	m := unixMinute(b.Clock.Now())
 	for _, v := range l {
-		k := cell{minute: m, service: v.Service}
+		k := minuteKey{minute: m, service: v.Service}
 		u := b.usages[k]
 		if u == nil {
 			u = &usage.Usage{Minute: m, Service: v.Service}
@@ -105,13 +109,13 @@
 
 func (b *Burn) expire() {
 	n := b.Clock.Now()
-	// Once a minute: a look at every count in each second would hold up
-	// requests for a millisecond at today's sizes.
-	if b.expired == minute(n) {
+	// Expiry runs once a minute: scanning all counts every second would block
+	// requests for a millisecond at current sizes.
+	if b.lastExpiryMinute == unixMinute(n) {
 		return
 	}
-	b.expired = minute(n)
-	o := minute(n.Add(-keepTallies))
+	b.lastExpiryMinute = unixMinute(n)
+	o := unixMinute(n.Add(-tallyRetention))
 	for k := range b.tallies {
 		if k.minute < o {
 			delete(b.tallies, k)
@@ -122,23 +126,24 @@
 			delete(b.usages, k)
 		}
 	}
-	s := n.Add(-keepRates).Unix()
+	s := n.Add(-rateRetention).Unix()
 	for k := range b.seconds {
 		if k.second < s {
 			delete(b.seconds, k)
 		}
 	}
-	for len(b.drains) > 0 && n.Sub(b.drains[0].At) > keepTallies {
+	for len(b.drains) > 0 && n.Sub(b.drains[0].At) > tallyRetention {
 		b.drains = b.drains[1:]
 	}
-	if n.Sub(b.rotated) >= latencyPiece {
+	if n.Sub(b.lastRotation) >= latencyWindow {
 		for _, h := range b.latencies {
 			h.Rotate()
 		}
-		b.rotated = n
+		b.lastRotation = n
 	}
 }
 
-func minute(t time.Time) int64 {
+// unixMinute returns the number of minutes since the Unix epoch.
+func unixMinute(t time.Time) int64 {
 	return t.Unix() / 60
 }
--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// Each request is in one count; only one that spent a token and was not given
-// it back counts as admitted against the rate.
-func TestCounts(t *testing.T) {
+// Each request is counted in exactly one field of the tally. Only requests that
+// spent a token and did not get it back count as admitted against the rate.
+func TestRecordCountsOutcomes(t *testing.T) {
 	c := clockwork.NewFakeClockAt(time.Unix(6000, 0))
 	b := newBurn(c)
 	for _, r := range []struct {
@@ -55,7 +55,7 @@
 	must.Eq(t, 1, s.Seconds[0].Refused)
 }
 
-// BenchmarkRecord is the cost of the counting on the path of a request.
+// BenchmarkRecord measures the cost that counting adds to each request.
 func BenchmarkRecord(b *testing.B) {
 	x := newBurn(clockwork.NewRealClock())
 	o := outcome.Outcome{Outcome: outcome.Answered, Ran: outcome.RanYes}
@@ -64,8 +64,8 @@
 	}
 }
 
-// BenchmarkSums is the size and cost of one host's answer to the report, with
-// every account and service busy in each second of the longest window.
+// BenchmarkSums measures the size and cost of one host's response to the report,
+// with every account and service busy throughout the longest window.
 func BenchmarkSums(b *testing.B) {
 	for _, n := range []int{4, 8, 16} {
 		b.Run(fmt.Sprintf("Accounts%d", n), func(b *testing.B) {
@@ -74,7 +74,7 @@
 			o := outcome.Outcome{Outcome: outcome.Answered, Ran: outcome.RanYes}
 			for i := range 6 * 3600 {
 				for a := range n {
-					// An hour of seconds, six hours of minutes.
+					// One hour of counts by second, six hours by minute.
 					if i >= 5*3600 || i%60 == 0 {
 						x.Record(fmt.Sprintf("account-%02d", a), fmt.Sprintf("service-%d", i%4), o, time.Millisecond)
 					}
--- a/burn/record.go
+++ b/burn/record.go
@@ -13,20 +13,20 @@
 // Record counts a request of an account that ended after d.
 func (b *Burn) Record(account, service string, o outcome.Outcome, d time.Duration) {
 	if account == "" || service == "" {
-		return // nobody's budget: no key that works, or no such path
+		return // without a valid key or a known path, the request belongs to no budget
 	}
 	l := b.Latency(service)
 	n := b.Clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := b.tally(cell{minute: minute(n), account: account, service: service})
+	t := b.tallyFor(minuteKey{minute: unixMinute(n), account: account, service: service})
 	switch o.Outcome {
 	case outcome.Answered:
 		t.Answered++
 		if l == 0 || d <= l {
 			t.Timely++
 		}
-		b.latency(service, d)
+		b.recordLatency(service, d)
 	case outcome.Left:
 		t.Left++
 	case outcome.OverRate:
@@ -41,17 +41,17 @@
 			t.Failed++
 		}
 	}
-	b.rate(tick{second: n.Unix(), account: account}, o)
+	b.recordRate(secondKey{second: n.Unix(), account: account}, o)
 }
 
-// rate counts against the account's rate. A request that ended "not run" has
-// given its token back.
-func (b *Burn) rate(k tick, o outcome.Outcome) {
+// recordRate counts the request against the account's rate. A request that was
+// not run has returned its token and is not counted.
+func (b *Burn) recordRate(k secondKey, o outcome.Outcome) {
 	if o.Outcome != outcome.OverRate && o.Ran == outcome.RanNo {
 		return
 	}
 	if b.seconds == nil {
-		b.seconds = make(map[tick]*second.Second)
+		b.seconds = make(map[secondKey]*second.Second)
 	}
 	s := b.seconds[k]
 	if s == nil {
@@ -65,9 +65,10 @@
 	}
 }
 
-func (b *Burn) tally(k cell) *tally.Tally {
+// tallyFor returns the tally of k and creates it if necessary.
+func (b *Burn) tallyFor(k minuteKey) *tally.Tally {
 	if b.tallies == nil {
-		b.tallies = make(map[cell]*tally.Tally)
+		b.tallies = make(map[minuteKey]*tally.Tally)
 	}
 	t := b.tallies[k]
 	if t == nil {
@@ -77,16 +78,16 @@
 	return t
 }
 
-func (b *Burn) latency(service string, d time.Duration) {
+func (b *Burn) recordLatency(service string, d time.Duration) {
 	if b.latencies == nil {
 		b.latencies = make(map[string]*hdrhistogram.WindowedHistogram)
-		b.rotated = b.Clock.Now()
+		b.lastRotation = b.Clock.Now()
 	}
 	h := b.latencies[service]
 	if h == nil {
-		h = hdrhistogram.NewWindowed(latencyPieces, 1, maxLatency, precision)
+		h = hdrhistogram.NewWindowed(latencyWindowCount, 1, maxLatencyMicros, latencyDigits)
 		b.latencies[service] = h
 	}
-	// A value is only refused above the greatest one, to which it is cut.
-	_ = h.Current.RecordValue(min(d.Microseconds(), maxLatency))
+	// RecordValue fails only for values above the maximum, which min rules out.
+	_ = h.Current.RecordValue(min(d.Microseconds(), maxLatencyMicros))
 }
--- a/burn/sums.go
+++ b/burn/sums.go
@@ -6,7 +6,7 @@
 	"celeryreach.example/celeryreach/sums"
 )
 
-// Sums returns what was counted.
+// Sums returns a sorted copy of all counts.
 func (b *Burn) Sums() sums.Sums {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -25,16 +25,17 @@
 	}
 	s.Drains = append(s.Drains, b.drains...)
 	for k, h := range b.latencies {
-		// Encoding fails on a broken histogram only; the report then has none.
+		// Encoding fails only for a corrupt histogram, which is then left out.
 		if e, err := h.Merge().EncodeV2(); err == nil {
 			s.Latencies[k] = e
 		}
 	}
-	order(&s)
+	sortSums(&s)
 	return s
 }
 
-func order(s *sums.Sums) {
+// sortSums sorts the counts by time, account and service.
+func sortSums(s *sums.Sums) {
 	sort.Slice(s.Tallies, func(i, j int) bool {
 		a, b := s.Tallies[i], s.Tallies[j]
 		if a.Minute != b.Minute {
--- a/burnpage/burnpage.go
+++ b/burnpage/burnpage.go
@@ -1,5 +1,4 @@
-// Package burnpage writes the burn report as one HTML page that needs no other
-// file.
+// Package burnpage renders the burn report as a self-contained HTML page.
 package burnpage
 
 import (
@@ -18,10 +17,10 @@
 	"celeryreach.example/celeryreach/report"
 )
 
-const bar = 14 * vg.Millimeter
+const barWidth = 14 * vg.Millimeter
 
-// page is what the template shows.
-type page struct {
+// pageData is the input of the page template.
+type pageData struct {
 	At     string
 	Alerts []string
 	Silent map[string]string
@@ -29,7 +28,7 @@
 	Text   string
 }
 
-var layout = template.Must(template.New("burn").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("burn").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Burn report {{.At}}</title>
 <style>body{font-family:sans-serif;margin:2em;max-width:70em}pre{background:#f4f4f4;padding:1em;overflow:auto}
 .alert{color:#a00;font-weight:bold}svg{max-width:100%;height:auto;display:block;margin:1em 0}</style></head>
@@ -40,14 +39,14 @@
 <pre>{{.Text}}</pre></body></html>
 `))
 
-// Write writes the page.
+// Write renders the report r as an HTML page to w.
 func Write(w io.Writer, r *report.Report) error {
 	var t bytes.Buffer
 	if err := r.Text(&t); err != nil {
 		return errors.Wrap(err, "text")
 	}
-	p := page{At: r.At.Format(time.RFC3339), Alerts: r.Alerts, Silent: r.Silent, Text: t.String()}
-	for _, f := range []func(*report.Report) (*plot.Plot, error){burns, accounts, latencies} {
+	p := pageData{At: r.At.Format(time.RFC3339), Alerts: r.Alerts, Silent: r.Silent, Text: t.String()}
+	for _, f := range []func(*report.Report) (*plot.Plot, error){plotBurnRates, plotAccounts, plotLatencies} {
 		v, err := f(r)
 		if err != nil {
 			return errors.Wrap(err, "plot")
@@ -56,13 +55,13 @@
 		if err != nil {
 			return errors.Wrap(err, "plot")
 		}
-		p.Plots = append(p.Plots, template.HTML(s)) //nolint:gosec // lineplot escapes texts
+		p.Plots = append(p.Plots, template.HTML(s)) //nolint:gosec // lineplot escapes all text
 	}
-	return errors.Wrap(layout.Execute(w, p), "page")
+	return errors.Wrap(pageTemplate.Execute(w, p), "page")
 }
 
-// burns plots the burn rates minute by minute.
-func burns(r *report.Report) (*plot.Plot, error) {
+// plotBurnRates plots the burn rates by minute.
+func plotBurnRates(r *report.Report) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "Burn rate by minute (1 uses the budget up exactly)"
 	p.X.Label.Text = "minutes ago"
@@ -75,8 +74,9 @@
 	return p, lineplot.Add(p, m)
 }
 
-// accounts plots how the requests of the client accounts ended, stacked.
-func accounts(r *report.Report) (*plot.Plot, error) {
+// plotAccounts plots how the requests of each client account ended, as stacked
+// bars.
+func plotAccounts(r *report.Report) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "Requests by client account"
 	p.Y.Label.Text = "requests"
@@ -93,7 +93,7 @@
 	}
 	var below *plotter.BarChart
 	for i, l := range []string{"answered", "left", "failed or refused inside the rate", "wrongly over rate", "over rate"} {
-		b, err := plotter.NewBarChart(v[i], bar)
+		b, err := plotter.NewBarChart(v[i], barWidth)
 		if err != nil {
 			return nil, err
 		}
@@ -107,13 +107,13 @@
 	}
 	p.Legend.Top = true
 	p.NominalX(n...)
-	p.Y.Max *= 1.6 // room for the legend above the bars
+	p.Y.Max *= 1.6 // leaves space for the legend above the bars
 	p.X.Min, p.X.Max = -1, float64(len(n))
 	return p, nil
 }
 
-// latencies plots the percentiles of each service.
-func latencies(r *report.Report) (*plot.Plot, error) {
+// plotLatencies plots the latency percentiles of each service.
+func plotLatencies(r *report.Report) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "Time to the end of the answer, last hour"
 	p.Y.Label.Text = "ms"
--- a/cmd/account.go
+++ b/cmd/account.go
@@ -3,5 +3,5 @@
 import "github.com/urfave/cli/v3"
 
 func (m *Cmd) accountCommand() *cli.Command {
-	return group("account", "client accounts and their limits", m.accountList(), m.accountSet(), m.accountRemove())
+	return commandGroup("account", "client accounts and their limits", m.accountList(), m.accountSet(), m.accountRemove())
 }
--- a/cmd/account_list.go
+++ b/cmd/account_list.go
@@ -8,11 +8,11 @@
 )
 
 func (m *Cmd) accountList() *cli.Command {
-	return m.leaf("list", "print the client accounts", "", m.runAccountList)
+	return m.operatorCommand("list", "print the client accounts", "", m.runAccountList)
 }
 
 func (m *Cmd) runAccountList(ctx context.Context, c *cli.Command) error {
-	v, err := m.current(ctx, c)
+	v, err := m.currentConfig(ctx, c)
 	if err != nil {
 		return err
 	}
@@ -20,15 +20,16 @@
 	for _, k := range v.Keys {
 		n[k.Account]++
 	}
-	return m.write(c, v.Accounts, func() {
+	return m.writeResult(c, v.Accounts, func() {
 		r := [][]string{{"ACCOUNT", "RATE/S", "BURST", "WEIGHT", "KEYS"}}
 		for _, a := range v.Accounts {
-			r = append(r, []string{a.Name, number(a.Rate), number(a.Burst), number(a.Weight), strconv.Itoa(n[a.Name])})
+			r = append(r, []string{a.Name, formatFloat(a.Rate), formatFloat(a.Burst), formatFloat(a.Weight), strconv.Itoa(n[a.Name])})
 		}
-		m.table(r)
+		m.writeTable(r)
 	})
 }
 
-func number(f float64) string {
+// formatFloat formats f with the fewest digits that represent it exactly.
+func formatFloat(f float64) string {
 	return strconv.FormatFloat(f, 'g', -1, 64)
 }
--- a/cmd/account_remove.go
+++ b/cmd/account_remove.go
@@ -13,15 +13,15 @@
 )
 
 func (m *Cmd) accountRemove() *cli.Command {
-	return m.leaf("remove", "remove a client account and withdraw its keys", "ACCOUNT", m.runAccountRemove, waitFlags()...)
+	return m.operatorCommand("remove", "remove a client account and withdraw its keys", "ACCOUNT", m.runAccountRemove, waitFlags()...)
 }
 
 func (m *Cmd) runAccountRemove(ctx context.Context, c *cli.Command) error {
-	a, err := arguments(c, "ACCOUNT")
+	a, err := exactArgs(c, "ACCOUNT")
 	if err != nil {
 		return err
 	}
-	return m.edit(ctx, c, "", func(v *config.Config) error {
+	return m.editConfig(ctx, c, "", func(v *config.Config) error {
 		n := len(v.Accounts)
 		v.Accounts = slices.DeleteFunc(v.Accounts, func(x account.Account) bool { return x.Name == a[0] })
 		if len(v.Accounts) == n {
--- a/cmd/account_set.go
+++ b/cmd/account_set.go
@@ -14,32 +14,33 @@
 		&cli.FloatFlag{Name: "rate", Usage: "sustained limit, `REQUESTS` a second over all hosts together"},
 		&cli.FloatFlag{Name: "burst", Usage: "`REQUESTS` that may arrive at once above the rate"},
 		&cli.FloatFlag{Name: "weight", Usage: "`PART` of a contended queue; zero means one"})
-	return m.leaf("set", "create a client account or change its limits", "ACCOUNT", m.runAccountSet, f...)
+	return m.operatorCommand("set", "create a client account or change its limits", "ACCOUNT", m.runAccountSet, f...)
 }
 
 func (m *Cmd) runAccountSet(ctx context.Context, c *cli.Command) error {
-	a, err := arguments(c, "ACCOUNT")
+	a, err := exactArgs(c, "ACCOUNT")
 	if err != nil {
 		return err
 	}
-	return m.edit(ctx, c, "", func(v *config.Config) error {
+	return m.editConfig(ctx, c, "", func(v *config.Config) error {
 		for i := range v.Accounts {
 			if v.Accounts[i].Name == a[0] {
-				limits(c, &v.Accounts[i])
+				applyLimits(c, &v.Accounts[i])
 				return nil
 			}
 		}
 		if !c.IsSet("rate") || !c.IsSet("burst") {
-			return &failure{code: exitUsage, text: "a new account needs -rate and -burst"}
+			return &exitError{code: exitUsage, text: "a new account needs -rate and -burst"}
 		}
 		n := account.Account{Name: a[0]}
-		limits(c, &n)
+		applyLimits(c, &n)
 		v.Accounts = append(v.Accounts, n)
 		return nil
 	})
 }
 
-func limits(c *cli.Command, a *account.Account) {
+// applyLimits sets the limits of a for which a flag is given.
+func applyLimits(c *cli.Command, a *account.Account) {
 	for f, v := range map[string]*float64{"rate": &a.Rate, "burst": &a.Burst, "weight": &a.Weight} {
 		if c.IsSet(f) {
 			*v = c.Float(f)
--- a/cmd/block.go
+++ b/cmd/block.go
@@ -16,11 +16,11 @@
 	"celeryreach.example/celeryreach/platformclient"
 )
 
-// removed stands in the place of the region of a client block to remove.
-const removed = "-"
+// removeMarker is given in place of a region to remove a client block.
+const removeMarker = "-"
 
 func (m *Cmd) blockCommand() *cli.Command {
-	return group("block", "client blocks, when there are too many for the configuration", &cli.Command{
+	return commandGroup("block", "client blocks, when there are too many for the configuration", &cli.Command{
 		Name: "apply", Usage: "put client blocks on the platform, and remove some", ArgsUsage: "FILE",
 		Description: `Each line of the file is an address range and its nearest region, or a range
 and "-" to remove it. Blocks that the file does not name stay as they are.`,
@@ -33,7 +33,7 @@
 }
 
 func (m *Cmd) runBlockApply(ctx context.Context, c *cli.Command) error {
-	a, err := arguments(c, "FILE")
+	a, err := exactArgs(c, "FILE")
 	if err != nil {
 		return err
 	}
@@ -43,14 +43,14 @@
 	}
 	l, err := blockchunk.Parse(b)
 	if err != nil {
-		return &failure{code: exitMistakes, text: err.Error()}
+		return &exitError{code: exitInvalid, text: err.Error()}
 	}
 	p := (&platformclient.Platformclient{URL: c.String("platform"), Timeout: callTimeout}).Platform()
-	n, err := load(ctx, p)
+	n, err := loadFromPlatform(ctx, p)
 	if err != nil {
 		return err
 	}
-	u, r, err := split(n, l)
+	u, r, err := splitBlocks(n, l)
 	if err != nil {
 		return err
 	}
@@ -58,24 +58,25 @@
 	if err != nil {
 		return err
 	}
-	return m.write(c, v, func() {
+	return m.writeResult(c, v, func() {
 		m.printf("accepted as version %d: %d put, %d removed\n", v.Version, len(u), len(r))
 	})
 }
 
-// split tells the blocks to put from those to remove. A region that does not
-// exist is refused: its callers would wait for ever for hosts of it.
-func split(c *config.Config, l []block.Block) (put []block.Block, remove []netip.Prefix, err error) {
+// splitBlocks separates the blocks to put from those to remove. It rejects
+// unknown regions: callers in such a block would wait forever for hosts of that
+// region.
+func splitBlocks(c *config.Config, l []block.Block) (put []block.Block, remove []netip.Prefix, err error) {
 	h := make(map[string]bool)
 	for _, r := range c.Regions {
 		h[r.Name] = true
 	}
 	for _, v := range l {
 		switch {
-		case v.Region == removed:
+		case v.Region == removeMarker:
 			remove = append(remove, v.Prefix)
 		case !h[v.Region]:
-			return nil, nil, &failure{code: exitMistakes, text: v.Prefix.String() + ": there is no region " + v.Region}
+			return nil, nil, &exitError{code: exitInvalid, text: v.Prefix.String() + ": there is no region " + v.Region}
 		default:
 			put = append(put, v)
 		}
--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -1,4 +1,4 @@
-// Package cmd is the command line.
+// Package cmd implements the command line.
 package cmd
 
 import (
@@ -21,15 +21,15 @@
   4  the document has mistakes, nothing was changed
   5  accepted, but not in force on every host when -wait ended`
 
-// Cmd is one run of the command line.
+// Cmd holds the environment of one run of the command line.
 type Cmd struct {
-	// Out receives what was asked for.
+	// Out receives the output of the command.
 	Out io.Writer
-	// Err receives why it failed.
+	// Err receives error messages.
 	Err io.Writer
-	// Getenv returns variables of the environment.
+	// Getenv returns the value of an environment variable.
 	Getenv func(name string) string
-	// Clock is the clock of the command.
+	// Clock is the clock that commands use.
 	Clock clockwork.Clock
 }
 
@@ -37,8 +37,8 @@
 func Main(args []string) int {
 	ctx, f := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer f()
-	// The first signal begins the graceful shutdown and gives the signals back
-	// to the system, so that a second one ends the process at once.
+	// The first signal starts the graceful shutdown and restores the default
+	// signal handling, so that a second one terminates the process immediately.
 	defer context.AfterFunc(ctx, f)()
 	m := &Cmd{Out: os.Stdout, Err: os.Stderr, Getenv: os.Getenv, Clock: clockwork.NewRealClock()}
 	return m.Run(ctx, args)
@@ -54,10 +54,10 @@
 		Writer:                m.Out,
 		ErrWriter:             m.Err,
 		Suggest:               true,
-		// The default handler ends the process, which a test is too.
+		// The default handler would exit the process, including that of a test.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		OnUsageError:   usageError,
-		Action:         root,
+		Action:         runRoot,
 		Commands:       m.commands(),
 	}
 	err := c.Run(ctx, args)
@@ -67,7 +67,7 @@
 	if t := err.Error(); t != "" {
 		fmt.Fprintln(m.Err, "celeryreach:", t)
 	}
-	return code(err)
+	return exitCode(err)
 }
 
 func (m *Cmd) commands() []*cli.Command {
--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -24,8 +24,9 @@
 	return o.String(), e.String(), code
 }
 
-// The samples are accepted and have the sizes of the two users' deployments.
-func TestSamples(t *testing.T) {
+// The example configurations are valid and have the sizes of the two users'
+// deployments.
+func TestExampleConfigs(t *testing.T) {
 	for _, v := range []struct {
 		file     string
 		backends []int
@@ -64,9 +65,9 @@
 	must.Eq(t, 0, c, must.Sprint(o, e))
 }
 
-// Each script holds a command line, its files, and what it prints with its
+// Each script holds a command line, its files, and the expected output with the
 // exit code. UPDATE=1 rewrites the outputs.
-func TestOutputs(t *testing.T) {
+func TestCommandOutput(t *testing.T) {
 	f, err := filepath.Glob("testdata/*.txtar")
 	must.NoError(t, err)
 	must.Positive(t, len(f))
--- a/cmd/config.go
+++ b/cmd/config.go
@@ -14,49 +14,53 @@
 )
 
 func (m *Cmd) configCommand() *cli.Command {
-	return group("config", "show, check and change the whole configuration",
+	return commandGroup("config", "show, check and change the whole configuration",
 		m.configShow(), m.configCheck(), m.configDiff(), m.configApply(), m.configInit())
 }
 
-// read reads a configuration file and returns all of its mistakes.
-func read(path string) (*config.Config, []mistake.Mistake, error) {
+// readConfig reads a configuration file and returns all mistakes in it.
+func readConfig(path string) (*config.Config, []mistake.Mistake, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "configuration")
 	}
 	d, err := document.Parse(b)
 	if err != nil {
-		return nil, nil, &failure{code: exitMistakes, text: err.Error()}
+		return nil, nil, &exitError{code: exitInvalid, text: err.Error()}
 	}
 	c := new(config.Config)
 	if e := d.Decode(c); len(e) > 0 {
 		return nil, e, nil
 	}
-	return c, d.Locate(validate.Config(completed(c))), nil
+	return c, d.Locate(validate.Config(withFirstOperator(c))), nil
 }
 
-// completed adds an operator to a first configuration that names none: config
-// init issues that key itself.
-func completed(c *config.Config) *config.Config {
+// withFirstOperator adds a placeholder operator to a first configuration without
+// operators, so that it passes validation: config init issues the first key
+// itself.
+func withFirstOperator(c *config.Config) *config.Config {
 	if c.Version > 0 || len(c.Operators) > 0 {
 		return c
 	}
 	n := *c
-	n.Operators = []credential.Credential{{ID: firstOperator, Hash: credential.Hash("")}}
+	n.Operators = []credential.Credential{{ID: firstOperatorID, Hash: credential.Hash("")}}
 	return &n
 }
 
-// sound reads a configuration file that must have no mistakes.
-func (m *Cmd) sound(c *cli.Command, path string) (*config.Config, error) {
-	f, e, err := read(path)
+// readValidConfig reads a configuration file. If the file has mistakes, it prints
+// them and returns an error.
+func (m *Cmd) readValidConfig(c *cli.Command, path string) (*config.Config, error) {
+	f, e, err := readConfig(path)
 	if err != nil || len(e) == 0 {
 		return f, err
 	}
-	return nil, m.mistakes(c, path, e)
+	return nil, m.reportMistakes(c, path, e)
 }
 
-func (m *Cmd) mistakes(c *cli.Command, path string, e []mistake.Mistake) error {
-	err := m.write(c, e, func() {
+// reportMistakes prints the mistakes and returns the error that sets the exit
+// code.
+func (m *Cmd) reportMistakes(c *cli.Command, path string, e []mistake.Mistake) error {
+	err := m.writeResult(c, e, func() {
 		for _, v := range e {
 			m.printf("%s: %s\n", path, v)
 		}
@@ -65,5 +69,5 @@
 	if err != nil {
 		return err
 	}
-	return &failure{code: exitMistakes}
+	return &exitError{code: exitInvalid}
 }
--- a/cmd/config_check.go
+++ b/cmd/config_check.go
@@ -6,11 +6,11 @@
 	"github.com/urfave/cli/v3"
 )
 
-// checked tells programs that a file is right.
-type checked struct {
-	// File is the file.
+// checkResult is the JSON output of config check for a valid file.
+type checkResult struct {
+	// File is the path of the file.
 	File string
-	// Backends, Accounts and Keys count its entries.
+	// Backends, Accounts and Keys are the numbers of entries in the file.
 	Backends int
 	Accounts int
 	Keys     int
@@ -24,16 +24,16 @@
 }
 
 func (m *Cmd) runConfigCheck(_ context.Context, c *cli.Command) error {
-	a, err := arguments(c, "FILE")
+	a, err := exactArgs(c, "FILE")
 	if err != nil {
 		return err
 	}
-	f, err := m.sound(c, a[0])
+	f, err := m.readValidConfig(c, a[0])
 	if err != nil {
 		return err
 	}
-	r := checked{File: a[0], Backends: len(f.Backends), Accounts: len(f.Accounts), Keys: len(f.Keys)}
-	return m.write(c, r, func() {
+	r := checkResult{File: a[0], Backends: len(f.Backends), Accounts: len(f.Accounts), Keys: len(f.Keys)}
+	return m.writeResult(c, r, func() {
 		m.printf("%s: no mistakes; %d backend servers, %d client accounts, %d keys\n", r.File, r.Backends, r.Accounts, r.Keys)
 	})
 }
--- a/cmd/config_diff.go
+++ b/cmd/config_diff.go
@@ -10,15 +10,15 @@
 )
 
 func (m *Cmd) configDiff() *cli.Command {
-	return m.leaf("diff", "print what a configuration file would change", "FILE", m.runConfigDiff, platformFlag())
+	return m.operatorCommand("diff", "print what a configuration file would change", "FILE", m.runConfigDiff, platformFlag())
 }
 
 func (m *Cmd) runConfigDiff(ctx context.Context, c *cli.Command) error {
-	a, err := arguments(c, "FILE")
+	a, err := exactArgs(c, "FILE")
 	if err != nil {
 		return err
 	}
-	f, err := m.sound(c, a[0])
+	f, err := m.readValidConfig(c, a[0])
 	if err != nil {
 		return err
 	}
@@ -32,7 +32,7 @@
 		return err
 	}
 	d := difference.Between(v, f)
-	return m.write(c, d, func() {
-		m.differences(fmt.Sprintf("%d differences from version %d to %s", len(d), v.Version, a[0]), d)
+	return m.writeResult(c, d, func() {
+		m.writeDifferences(fmt.Sprintf("%d differences from version %d to %s", len(d), v.Version, a[0]), d)
 	})
 }
--- a/cmd/config_init.go
+++ b/cmd/config_init.go
@@ -9,7 +9,8 @@
 	"celeryreach.example/celeryreach/credential"
 )
 
-const firstOperator = "first-operator"
+// firstOperatorID is the ID of the operator's key that config init issues.
+const firstOperatorID = "first-operator"
 
 func (m *Cmd) configInit() *cli.Command {
 	return &cli.Command{
@@ -28,32 +29,32 @@
 }
 
 func (m *Cmd) runConfigInit(ctx context.Context, c *cli.Command) error {
-	a, err := arguments(c, "FILE")
+	a, err := exactArgs(c, "FILE")
 	if err != nil {
 		return err
 	}
-	f, err := m.sound(c, a[0])
+	f, err := m.readValidConfig(c, a[0])
 	if err != nil {
 		return err
 	}
 	k := ""
 	if len(f.Operators) == 0 {
 		k = rand.Text()
-		f.Operators = append(f.Operators, credential.Credential{ID: firstOperator, Hash: credential.Hash(k)})
+		f.Operators = append(f.Operators, credential.Credential{ID: firstOperatorID, Hash: credential.Hash(k)})
 	}
 	n, err := m.connect(c)
 	if err != nil {
 		return err
 	}
 	defer n.close()
-	v, err := n.change(ctx, 0, f)
+	v, err := n.commit(ctx, 0, f)
 	if err != nil {
-		return conflicted(err)
+		return withConflictCode(err)
 	}
-	return m.write(c, changed{Version: v.Version, Key: k}, func() {
+	return m.writeResult(c, changeResult{Version: v.Version, Key: k}, func() {
 		m.printf("accepted as version %d\n", v.Version)
 		if k != "" {
-			m.printf("operator %s, key: %s\nIt is shown this once and stored only as a hash.\n", firstOperator, k)
+			m.printf("operator %s, key: %s\nIt is shown this once and stored only as a hash.\n", firstOperatorID, k)
 		}
 	})
 }
--- a/cmd/config_show.go
+++ b/cmd/config_show.go
@@ -10,11 +10,11 @@
 )
 
 func (m *Cmd) configShow() *cli.Command {
-	return m.leaf("show", "print the configuration in force, as a file for apply", "", m.runConfigShow, platformFlag())
+	return m.operatorCommand("show", "print the configuration in force, as a file for apply", "", m.runConfigShow, platformFlag())
 }
 
 func (m *Cmd) runConfigShow(ctx context.Context, c *cli.Command) error {
-	v, err := m.current(ctx, c)
+	v, err := m.currentConfig(ctx, c)
 	if err != nil {
 		return err
 	}
--- a/cmd/connection.go
+++ b/cmd/connection.go
@@ -23,8 +23,8 @@
 	"celeryreach.example/celeryreach/validate"
 )
 
-// Names of the environment. The key has no flag: arguments show in the list of
-// processes, which every user of a machine can read.
+// Environment variables. There is no flag for the key itself, because every user
+// of a machine can read command-line arguments in the process list.
 const (
 	operatorVariable  = "CELERYREACH_OPERATOR"
 	keyVariable       = "CELERYREACH_OPERATOR_KEY"
@@ -34,13 +34,15 @@
 
 const callTimeout = 10 * time.Second
 
-// connection is the common part of all operators' commands.
+// connection provides access to the configuration, through the operators'
+// interface of a host or directly on the platform. client is nil in the latter
+// case.
 type connection struct {
-	client    *operatorclient.Operatorclient
-	transport *http.Transport
-	load      func(ctx context.Context) (*config.Config, error)
-	former    func(ctx context.Context, version uint64) (*config.Config, error)
-	change    func(ctx context.Context, from uint64, c *config.Config) (accepted.Accepted, error)
+	client      *operatorclient.Operatorclient
+	transport   *http.Transport
+	load        func(ctx context.Context) (*config.Config, error)
+	loadVersion func(ctx context.Context, version uint64) (*config.Config, error)
+	commit      func(ctx context.Context, from uint64, c *config.Config) (accepted.Accepted, error)
 }
 
 func connectionFlags() []cli.Flag {
@@ -57,42 +59,45 @@
 }
 
 func (m *Cmd) connect(c *cli.Command) (*connection, error) {
-	t, err := m.transport(c)
+	t, err := m.newTransport(c)
 	if err != nil {
 		return nil, err
 	}
 	n := &connection{transport: t}
 	if u := c.String("platform"); u != "" {
 		p := &platformclient.Platformclient{URL: u, Timeout: callTimeout}
-		n.platform(p.Platform())
+		n.usePlatform(p.Platform())
 		return n, nil
 	}
-	k, err := m.key(c)
+	k, err := m.operatorKey(c)
 	if err != nil {
 		return nil, err
 	}
-	u := m.option(c, "operator", operatorVariable)
+	u := m.flagOrEnv(c, "operator", operatorVariable)
 	if u == "" || k == "" {
-		return nil, &failure{code: exitUsage, text: "a host and an operator's key are needed: set " + operatorVariable + " and " + keyVariable}
+		return nil, &exitError{code: exitUsage, text: "a host and an operator's key are needed: set " + operatorVariable + " and " + keyVariable}
 	}
 	n.client = &operatorclient.Operatorclient{URL: strings.TrimSuffix(u, "/"), Key: k, Timeout: callTimeout, Transport: t}
-	n.load, n.former, n.change = n.client.Config, n.client.Former, n.client.Change
+	n.load, n.loadVersion, n.commit = n.client.Config, n.client.Former, n.client.Change
 	return n, nil
 }
 
-// close ends idle connections.
+// close closes idle connections.
 func (n *connection) close() {
 	n.transport.CloseIdleConnections()
 }
 
-func (m *Cmd) option(c *cli.Command, flag, variable string) string {
+// flagOrEnv returns the value of the flag, or that of the environment variable if
+// the flag is empty.
+func (m *Cmd) flagOrEnv(c *cli.Command, flag, variable string) string {
 	if v := c.String(flag); v != "" {
 		return v
 	}
 	return m.Getenv(variable)
 }
 
-func (m *Cmd) key(c *cli.Command) (string, error) {
+// operatorKey returns the operator's key from the key file or the environment.
+func (m *Cmd) operatorKey(c *cli.Command) (string, error) {
 	f := c.String("key-file")
 	if f == "" {
 		return m.Getenv(keyVariable), nil
@@ -104,9 +109,11 @@
 	return strings.TrimSpace(string(b)), nil
 }
 
-func (m *Cmd) transport(c *cli.Command) (*http.Transport, error) {
+// newTransport returns a transport that trusts the given certificate authority, or
+// the system's authorities if none is given.
+func (m *Cmd) newTransport(c *cli.Command) (*http.Transport, error) {
 	t := new(http.Transport)
-	f := m.option(c, "authority", authorityVariable)
+	f := m.flagOrEnv(c, "authority", authorityVariable)
 	if f == "" {
 		return t, nil
 	}
@@ -122,14 +129,14 @@
 	return t, nil
 }
 
-// platform reads and changes the configuration without a host. The check that
-// a host makes of a change is made here.
-func (n *connection) platform(p store.Store) {
-	n.load = func(ctx context.Context) (*config.Config, error) { return load(ctx, p) }
-	n.former = func(context.Context, uint64) (*config.Config, error) {
-		return nil, errors.New("the platform names the newest version only")
-	}
-	n.change = func(ctx context.Context, from uint64, c *config.Config) (accepted.Accepted, error) {
+// usePlatform reads and changes the configuration on the platform without a host.
+// It validates changes itself, as a host would.
+func (n *connection) usePlatform(p store.Store) {
+	n.load = func(ctx context.Context) (*config.Config, error) { return loadFromPlatform(ctx, p) }
+	n.loadVersion = func(context.Context, uint64) (*config.Config, error) {
+		return nil, errors.New("only the newest version can be loaded from the platform")
+	}
+	n.commit = func(ctx context.Context, from uint64, c *config.Config) (accepted.Accepted, error) {
 		if e := validate.Config(c); len(e) > 0 {
 			return accepted.Accepted{}, &problem.Problem{Problem: problem.Mistaken, Message: "nothing was changed", Mistakes: e}
 		}
@@ -141,7 +148,8 @@
 	}
 }
 
-func load(ctx context.Context, p store.Store) (*config.Config, error) {
+// loadFromPlatform reads the accepted configuration from the platform.
+func loadFromPlatform(ctx context.Context, p store.Store) (*config.Config, error) {
 	r, err := p.Read(ctx, accepted.RowKey)
 	if err != nil {
 		return nil, err
--- a/cmd/current.go
+++ b/cmd/current.go
@@ -8,10 +8,10 @@
 	"celeryreach.example/celeryreach/config"
 )
 
-// current returns the configuration in force for a command that takes the
-// named arguments and needs the operators' interface for nothing else.
-func (m *Cmd) current(ctx context.Context, c *cli.Command, names ...string) (*config.Config, error) {
-	if _, err := arguments(c, names...); err != nil {
+// currentConfig returns the configuration in force, for commands that take the
+// named arguments and make no other calls to the operators' interface.
+func (m *Cmd) currentConfig(ctx context.Context, c *cli.Command, names ...string) (*config.Config, error) {
+	if _, err := exactArgs(c, names...); err != nil {
 		return nil, err
 	}
 	n, err := m.connect(c)
--- a/cmd/drain.go
+++ b/cmd/drain.go
@@ -10,8 +10,8 @@
 )
 
 func (m *Cmd) drainCommand() *cli.Command {
-	return group("drain", "give no new work to a backend server, a failure domain or a region",
-		m.drainOf("backend", "a backend server", func(v *config.Config, name string) *bool {
+	return commandGroup("drain", "give no new work to a backend server, a failure domain or a region",
+		m.drainTargetCommand("backend", "a backend server", func(v *config.Config, name string) *bool {
 			for i := range v.Backends {
 				if v.Backends[i].Name == name {
 					return &v.Backends[i].Draining
@@ -19,7 +19,7 @@
 			}
 			return nil
 		}),
-		m.drainOf("domain", "a failure domain", func(v *config.Config, name string) *bool {
+		m.drainTargetCommand("domain", "a failure domain", func(v *config.Config, name string) *bool {
 			for i := range v.Domains {
 				if v.Domains[i].Name == name {
 					return &v.Domains[i].Draining
@@ -27,7 +27,7 @@
 			}
 			return nil
 		}),
-		m.drainOf("region", "a region", func(v *config.Config, name string) *bool {
+		m.drainTargetCommand("region", "a region", func(v *config.Config, name string) *bool {
 			for i := range v.Regions {
 				if v.Regions[i].Name == name {
 					return &v.Regions[i].Draining
@@ -37,14 +37,16 @@
 		}))
 }
 
-func (m *Cmd) drainOf(name, what string, find func(v *config.Config, name string) *bool) *cli.Command {
+// drainTargetCommand returns the command that starts or ends the drain of one kind
+// of target.
+func (m *Cmd) drainTargetCommand(name, what string, find func(v *config.Config, name string) *bool) *cli.Command {
 	f := append(waitFlags(), &cli.BoolFlag{Name: "end", Usage: "end the drain"})
-	return m.leaf(name, "drain "+what+", or end its drain with -end", "NAME", func(ctx context.Context, c *cli.Command) error {
-		a, err := arguments(c, "NAME")
+	return m.operatorCommand(name, "drain "+what+", or end its drain with -end", "NAME", func(ctx context.Context, c *cli.Command) error {
+		a, err := exactArgs(c, "NAME")
 		if err != nil {
 			return err
 		}
-		return m.edit(ctx, c, "", func(v *config.Config) error {
+		return m.editConfig(ctx, c, "", func(v *config.Config) error {
 			d := find(v, a[0])
 			if d == nil {
 				return errors.Errorf("%s %q is not in the configuration", what, a[0])
--- a/cmd/edit.go
+++ b/cmd/edit.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	attempts  = 8
-	catchUp   = 100 * time.Millisecond
-	catchUpIn = 5 * time.Second
+	maxEditAttempts     = 8
+	versionPollInterval = 100 * time.Millisecond
+	versionPollTimeout  = 5 * time.Second
 )
 
-// changed tells programs what a command changed.
-type changed struct {
+// changeResult is the JSON output of commands that change the configuration.
+type changeResult struct {
 	// Version is the accepted version.
 	Version uint64
-	// Differences are the command's own changes.
+	// Differences lists the changes made by the command.
 	Differences []difference.Difference
-	// Key is an issued key, shown this once.
+	// Key is a newly issued key. It is not shown again.
 	Key string `json:",omitzero"`
-	// Hosts tell where the version is in force, with -wait.
-	Hosts []place `json:",omitzero"`
+	// Hosts lists the version in force on each host, with -wait.
+	Hosts []hostVersion `json:",omitzero"`
 }
 
-// conflict tells programs what clashed.
-type conflict struct {
+// conflictResult is the JSON output for a change that conflicts with another one.
+type conflictResult struct {
 	// Version is the accepted version.
 	Version uint64
-	// Yours are the command's own changes. None is in force.
+	// Yours lists the changes of the command. None of them is in force.
 	Yours []difference.Difference
-	// Theirs were accepted in between.
+	// Theirs lists the changes that were accepted since the base version.
 	Theirs []difference.Difference
 }
 
@@ -49,10 +49,10 @@
 	}
 }
 
-// edit changes one thing of the configuration. When another change was
-// accepted in between, it is made again on top of that one, unless both touch
-// the same field: then the operator has to decide.
-func (m *Cmd) edit(ctx context.Context, c *cli.Command, key string, apply func(c *config.Config) error) error {
+// editConfig applies a change to the configuration. If another change was accepted
+// in the meantime, it applies the change again on top of that one, unless both
+// modify the same field: that conflict is left to the operator.
+func (m *Cmd) editConfig(ctx context.Context, c *cli.Command, key string, apply func(c *config.Config) error) error {
 	n, err := m.connect(c)
 	if err != nil {
 		return err
@@ -62,8 +62,8 @@
 	if err != nil {
 		return err
 	}
-	for range attempts {
-		v, err := clone(b)
+	for range maxEditAttempts {
+		v, err := cloneConfig(b)
 		if err != nil {
 			return err
 		}
@@ -72,40 +72,42 @@
 		}
 		d := difference.Between(b, v)
 		if len(d) == 0 {
-			return m.write(c, changed{Version: b.Version}, func() { m.printf("nothing to change in version %d\n", b.Version) })
+			return m.writeResult(c, changeResult{Version: b.Version}, func() { m.printf("nothing to change in version %d\n", b.Version) })
 		}
-		a, err := n.change(ctx, b.Version, v)
+		a, err := n.commit(ctx, b.Version, v)
 		if err == nil {
-			return m.accepted(ctx, c, n, changed{Version: a.Version, Differences: d, Key: key})
+			return m.reportAccepted(ctx, c, n, changeResult{Version: a.Version, Differences: d, Key: key})
 		}
 		b, err = m.rebase(ctx, c, n, b, d, err)
 		if err != nil {
 			return err
 		}
 	}
-	return errors.Errorf("%d attempts met %d other changes; nothing was changed", attempts, attempts)
+	return errors.Errorf("%d attempts met %d other changes; nothing was changed", maxEditAttempts, maxEditAttempts)
 }
 
-// rebase returns the version that won, if the change can be made on top of it.
+// rebase returns the version that was accepted in the meantime, if the change can
+// be applied on top of it.
 func (m *Cmd) rebase(ctx context.Context, c *cli.Command, n *connection, base *config.Config, mine []difference.Difference, cause error) (*config.Config, error) {
 	var p *problem.Problem
 	if !errors.As(cause, &p) || p.Problem != problem.Conflict {
 		return nil, cause
 	}
-	l, err := m.reach(ctx, n, p.Accepted)
+	l, err := m.awaitVersion(ctx, n, p.Accepted)
 	if err != nil {
 		return nil, err
 	}
 	if t := difference.Between(base, l); difference.Overlap(mine, t) {
-		return nil, m.clash(c, conflict{Version: l.Version, Yours: mine, Theirs: t})
+		return nil, m.reportConflict(c, conflictResult{Version: l.Version, Yours: mine, Theirs: t})
 	}
 	return l, nil
 }
 
-// reach loads the accepted version. The host that told the conflict may take a
-// moment until it follows.
-func (m *Cmd) reach(ctx context.Context, n *connection, a accepted.Accepted) (*config.Config, error) {
-	x, f := context.WithTimeout(ctx, catchUpIn)
+// awaitVersion loads the configuration once the host has the accepted version or a
+// later one. The host that reports a conflict may apply that version shortly
+// afterwards.
+func (m *Cmd) awaitVersion(ctx context.Context, n *connection, a accepted.Accepted) (*config.Config, error) {
+	x, f := context.WithTimeout(ctx, versionPollTimeout)
 	defer f()
 	for {
 		l, err := n.load(x)
@@ -115,32 +117,35 @@
 		select {
 		case <-x.Done():
 			return nil, errors.Errorf("version %d was accepted, and this host still has version %d", a.Version, l.Version)
-		case <-m.Clock.After(catchUp):
+		case <-m.Clock.After(versionPollInterval):
 		}
 	}
 }
 
-func (m *Cmd) clash(c *cli.Command, f conflict) error {
-	err := m.write(c, f, func() {
+// reportConflict prints both changes and returns the error that sets the exit
+// code.
+func (m *Cmd) reportConflict(c *cli.Command, f conflictResult) error {
+	err := m.writeResult(c, f, func() {
 		m.printf("conflict: version %d was accepted in between; nothing was changed\n", f.Version)
-		m.differences("your change:", f.Yours)
-		m.differences("accepted in between:", f.Theirs)
+		m.writeDifferences("your change:", f.Yours)
+		m.writeDifferences("accepted in between:", f.Theirs)
 	})
 	if err != nil {
 		return err
 	}
-	return &failure{code: exitConflict}
+	return &exitError{code: exitConflict}
 }
 
-// accepted tells what was accepted and, with -wait, where it is in force.
-func (m *Cmd) accepted(ctx context.Context, c *cli.Command, n *connection, r changed) error {
-	// The next command that asks this host must see the change.
-	_, l := m.reach(ctx, n, accepted.Accepted{Version: r.Version})
+// reportAccepted prints the accepted change and, with -wait, the hosts on which it
+// is in force.
+func (m *Cmd) reportAccepted(ctx context.Context, c *cli.Command, n *connection, r changeResult) error {
+	// The next command sent to this host must see the change.
+	_, l := m.awaitVersion(ctx, n, accepted.Accepted{Version: r.Version})
 	a := true
 	if c.Bool("wait") && n.client != nil {
-		r.Hosts, a = m.everywhere(ctx, n, r.Version, c.Duration("wait-for"))
+		r.Hosts, a = m.awaitRollout(ctx, n, r.Version, c.Duration("wait-for"))
 	}
-	err := m.write(c, r, func() {
+	err := m.writeResult(c, r, func() {
 		m.printf("accepted as version %d\n", r.Version)
 		for _, d := range r.Differences {
 			m.printf("  %s\n", d)
@@ -148,20 +153,21 @@
 		if r.Key != "" {
 			m.printf("key: %s\nIt is shown this once and stored only as a hash.\n", r.Key)
 		}
-		m.places(r.Version, r.Hosts)
+		m.writeHostVersions(r.Version, r.Hosts)
 	})
 	switch {
 	case err != nil:
 		return err
 	case l != nil:
-		return &failure{code: exitNotEverywhere, text: l.Error()}
+		return &exitError{code: exitNotInForce, text: l.Error()}
 	case !a:
-		return &failure{code: exitNotEverywhere, text: "not in force on every host"}
+		return &exitError{code: exitNotInForce, text: "not in force on every host"}
 	}
 	return nil
 }
 
-func clone(c *config.Config) (*config.Config, error) {
+// cloneConfig returns a deep copy of c.
+func cloneConfig(c *config.Config) (*config.Config, error) {
 	b, err := codec.Marshal(c)
 	if err != nil {
 		return nil, errors.Wrap(err, "configuration")
--- a/cmd/everywhere.go
+++ b/cmd/everywhere.go
@@ -12,41 +12,42 @@
 )
 
 const (
-	waitEvery  = 100 * time.Millisecond
-	askTimeout = 2 * time.Second
+	rolloutPollInterval = 100 * time.Millisecond
+	statusTimeout       = 2 * time.Second
 )
 
-// place is one host's answer to which version it has in force.
-type place struct {
-	// Host is the host.
+// hostVersion is the version of the configuration that one host has in force.
+type hostVersion struct {
+	// Host is the name of the host.
 	Host string
-	// Version is the version in force, zero when it did not answer.
+	// Version is the version in force, or zero if the host did not respond.
 	Version uint64
-	// Error says why it did not answer.
+	// Error is the reason why the host did not respond.
 	Error string `json:",omitzero"`
 }
 
-// state is one host's answer to a question for its state.
-type state struct {
+// hostState is the response of one host to a status request.
+type hostState struct {
 	member member.Member
 	status status.Status
 	err    error
 }
 
-// states asks every host that the first one knows of, directly: what a peer
-// has heard of a host is older than what the host says itself.
-func (n *connection) states(ctx context.Context) ([]state, error) {
+// hostStates requests the status of every host that the first one knows of. It
+// queries each host directly, because a peer's view of a host is older than the
+// status from the host itself.
+func (n *connection) hostStates(ctx context.Context) ([]hostState, error) {
 	s, err := n.client.Status(ctx)
 	if err != nil {
 		return nil, err
 	}
-	r := []state{{member: s.Host, status: s}}
+	r := []hostState{{member: s.Host, status: s}}
 	m := append(append([]member.Member(nil), s.Peers...), s.Missing...)
-	c := make(chan state)
+	c := make(chan hostState)
 	for _, v := range m {
 		go func() {
-			t, err := n.at(v).Status(ctx)
-			c <- state{member: v, status: t, err: err}
+			t, err := n.clientFor(v).Status(ctx)
+			c <- hostState{member: v, status: t, err: err}
 		}()
 	}
 	for range m {
@@ -56,10 +57,10 @@
 	return r, nil
 }
 
-// at returns a client of another host with the same key and scheme.
-func (n *connection) at(m member.Member) *operatorclient.Operatorclient {
+// clientFor returns a client for another host that uses the same key and scheme.
+func (n *connection) clientFor(m member.Member) *operatorclient.Operatorclient {
 	o := *n.client
-	o.Timeout = askTimeout
+	o.Timeout = statusTimeout
 	if u, err := url.Parse(o.URL); err == nil {
 		u.Host = m.OperatorAddress
 		o.URL = u.String()
@@ -67,16 +68,16 @@
 	return &o
 }
 
-// everywhere waits until version is in force on every host.
-func (m *Cmd) everywhere(ctx context.Context, n *connection, version uint64, d time.Duration) (hosts []place, all bool) {
+// awaitRollout waits until version is in force on every host, for at most d.
+func (m *Cmd) awaitRollout(ctx context.Context, n *connection, version uint64, d time.Duration) (hosts []hostVersion, all bool) {
 	x, f := context.WithTimeout(ctx, d)
 	defer f()
 	for {
-		// A round that is begun is finished: an answer that the end of the wait
-		// cut off would look like a silent host.
-		s, err := n.states(ctx)
+		// A round always completes, even after the wait has expired: a canceled
+		// request would make its host appear unresponsive.
+		s, err := n.hostStates(ctx)
 		if err == nil || hosts == nil {
-			hosts, all = inForce(s, version, err)
+			hosts, all = rolloutState(s, version, err)
 		}
 		if all {
 			return hosts, true
@@ -84,18 +85,20 @@
 		select {
 		case <-x.Done():
 			return hosts, false
-		case <-m.Clock.After(waitEvery):
+		case <-m.Clock.After(rolloutPollInterval):
 		}
 	}
 }
 
-func inForce(s []state, version uint64, err error) (hosts []place, all bool) {
+// rolloutState returns the version of each host, and whether every host responded
+// and has version in force.
+func rolloutState(s []hostState, version uint64, err error) (hosts []hostVersion, all bool) {
 	if err != nil {
-		return []place{{Error: err.Error()}}, false
+		return []hostVersion{{Error: err.Error()}}, false
 	}
 	all = true
 	for _, v := range s {
-		p := place{Host: v.member.Name, Version: v.status.ConfigVersion}
+		p := hostVersion{Host: v.member.Name, Version: v.status.ConfigVersion}
 		if v.err != nil {
 			p.Error = v.err.Error()
 		}
@@ -105,7 +108,9 @@
 	return hosts, all
 }
 
-func (m *Cmd) places(version uint64, hosts []place) {
+// writeHostVersions prints on how many hosts version is in force, and the hosts on
+// which it is not.
+func (m *Cmd) writeHostVersions(version uint64, hosts []hostVersion) {
 	if hosts == nil {
 		return
 	}
--- a/cmd/exit.go
+++ b/cmd/exit.go
@@ -9,35 +9,37 @@
 	"celeryreach.example/celeryreach/problem"
 )
 
-// Exit codes, told in the help.
+// Exit codes, as documented in description.
 const (
 	exitDone = iota
 	exitFailed
 	exitUsage
 	exitConflict
-	exitMistakes
-	exitNotEverywhere
+	exitInvalid
+	exitNotInForce
 )
 
-// failure is an error with an exit code. An empty text was told already.
-type failure struct {
+// exitError is an error with an exit code. The text is empty if the message was
+// already printed.
+type exitError struct {
 	code int
 	text string
 }
 
 // Error returns the text.
-func (f *failure) Error() string {
+func (f *exitError) Error() string {
 	return f.text
 }
 
-func code(err error) int {
-	var f *failure
+// exitCode returns the exit code for an error.
+func exitCode(err error) int {
+	var f *exitError
 	if errors.As(err, &f) {
 		return f.code
 	}
 	var p *problem.Problem
 	if errors.As(err, &p) && p.Problem == problem.Mistaken {
-		return exitMistakes
+		return exitInvalid
 	}
 	var e cli.ExitCoder
 	if errors.As(err, &e) {
@@ -47,11 +49,12 @@
 }
 
 func usageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
-	return &failure{code: exitUsage, text: err.Error()}
+	return &exitError{code: exitUsage, text: err.Error()}
 }
 
-// arguments returns exactly the named arguments of a command.
-func arguments(c *cli.Command, names ...string) ([]string, error) {
+// exactArgs returns the arguments of a command, which must match the given names
+// in number.
+func exactArgs(c *cli.Command, names ...string) ([]string, error) {
 	a := c.Args().Slice()
 	if len(a) == len(names) {
 		return a, nil
@@ -60,14 +63,14 @@
 	for _, n := range names {
 		t += " " + n
 	}
-	return nil, &failure{code: exitUsage, text: t}
+	return nil, &exitError{code: exitUsage, text: t}
 }
 
-// conflicted gives a conflict its exit code.
-func conflicted(err error) error {
+// withConflictCode gives a conflict its exit code.
+func withConflictCode(err error) error {
 	var p *problem.Problem
 	if errors.As(err, &p) && p.Problem == problem.Conflict {
-		return &failure{code: exitConflict, text: p.Error()}
+		return &exitError{code: exitConflict, text: p.Error()}
 	}
 	return err
 }
--- a/cmd/experiment.go
+++ b/cmd/experiment.go
@@ -34,11 +34,11 @@
 			&cli.StringSliceFlag{Name: "scenario", Usage: "run only this, such as host-lost"},
 			&cli.IntSliceFlag{Name: "holders", Value: []int{10, 100}, Usage: "numbers of hosts whose cost is measured"},
 		},
-		Action: runQuota,
+		Action: runExperimentQuota,
 	}
 }
 
-func runQuota(_ context.Context, c *cli.Command) error {
+func runExperimentQuota(_ context.Context, c *cli.Command) error {
 	e := &experiment.Experiment{
 		Out: c.Root().Writer, Seed: c.Uint64("seed"), Short: c.Bool("short"), Holders: c.IntSlice("holders"),
 		Ways: c.StringSlice("way"), Scenarios: c.StringSlice("scenario"),
--- a/cmd/experimentbackend.go
+++ b/cmd/experimentbackend.go
@@ -12,7 +12,6 @@
 	"celeryreach.example/celeryreach/backendtrial"
 )
 
-// experimentBackendCommand is a subcommand of experiment.
 func experimentBackendCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "backend",
--- a/cmd/experimentcapacity.go
+++ b/cmd/experimentcapacity.go
@@ -12,8 +12,8 @@
 	"celeryreach.example/celeryreach/target"
 )
 
-// tablesMark is the line of the page after which the tables stand.
-const tablesMark = "<!-- tables -->\n"
+// tablesMarker is the line of the page that precedes the tables.
+const tablesMarker = "<!-- tables -->\n"
 
 func (m *Cmd) experimentCapacityCommand() *cli.Command {
 	return &cli.Command{
@@ -23,11 +23,11 @@
 			&cli.BoolFlag{Name: "short", Usage: "measure at a hundredth of the sizes"},
 			&cli.StringFlag{Name: "page", Usage: "write the tables into `FILE` instead of printing them"},
 		},
-		Action: m.capacity,
+		Action: m.runExperimentCapacity,
 	}
 }
 
-func (m *Cmd) capacity(ctx context.Context, c *cli.Command) error {
+func (m *Cmd) runExperimentCapacity(ctx context.Context, c *cli.Command) error {
 	var b bytes.Buffer
 	v := &capacity.Capacity{Clock: m.Clock, Target: target.New(), Out: &b, Short: c.Bool("short")}
 	if err := v.Run(ctx); err != nil {
@@ -42,9 +42,9 @@
 	if err != nil {
 		return err
 	}
-	h, _, ok := bytes.Cut(o, []byte(tablesMark))
+	h, _, ok := bytes.Cut(o, []byte(tablesMarker))
 	if !ok {
-		return errors.Errorf("%s: there is no line %q after which the tables could stand", p, tablesMark)
+		return errors.Errorf("%s: there is no line %q after which the tables could stand", p, tablesMarker)
 	}
-	return os.WriteFile(p, append(append(h, tablesMark...), b.Bytes()...), 0o600)
+	return os.WriteFile(p, append(append(h, tablesMarker...), b.Bytes()...), 0o600)
 }
--- a/cmd/experimentconfig.go
+++ b/cmd/experimentconfig.go
@@ -11,9 +11,9 @@
 	"celeryreach.example/celeryreach/relaytrial"
 )
 
-// relayContent is the size of the configuration that the simulated fleets
-// relay, in bytes: about 1,000 client accounts.
-const relayContent = 200_000
+// relayContentBytes is the size of the configuration that is relayed in the
+// simulated fleets, about 1,000 client accounts.
+const relayContentBytes = 200_000
 
 func experimentConfigCommand() *cli.Command {
 	return &cli.Command{
@@ -35,7 +35,7 @@
 				return err
 			}
 			for _, n := range c.IntSlice("fleet") {
-				r := &relaytrial.Relaytrial{Out: c.Root().Writer, Hosts: n, Sites: max(1, n*850/7900), Domains: min(27, max(1, n*850/7900)), Content: relayContent}
+				r := &relaytrial.Relaytrial{Out: c.Root().Writer, Hosts: n, Sites: max(1, n*850/7900), Domains: min(27, max(1, n*850/7900)), Content: relayContentBytes}
 				if err := r.Run(ctx); err != nil {
 					return err
 				}
--- a/cmd/experimentplacement.go
+++ b/cmd/experimentplacement.go
@@ -13,7 +13,6 @@
 	"celeryreach.example/celeryreach/placementtrial"
 )
 
-// experimentPlacementCommand is a subcommand of experiment.
 func experimentPlacementCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "placement",
--- a/cmd/experimentqueue.go
+++ b/cmd/experimentqueue.go
@@ -12,7 +12,6 @@
 	"celeryreach.example/celeryreach/contention"
 )
 
-// experimentQueueCommand is a subcommand of experiment.
 func experimentQueueCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "queue",
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -23,7 +23,7 @@
 func runExplain(_ context.Context, c *cli.Command) error {
 	a := c.Args().Slice()
 	if len(a) < 2 {
-		return &failure{code: exitUsage, text: "the id of a request and one log file or more are needed"}
+		return &exitError{code: exitUsage, text: "the id of a request and one log file or more are needed"}
 	}
 	e := &explain.Explain{Request: a[0]}
 	for _, n := range a[1:] {
--- a/cmd/key.go
+++ b/cmd/key.go
@@ -8,15 +8,15 @@
 )
 
 func (m *Cmd) keyCommand() *cli.Command {
-	return group("key", "keys of client accounts and of operators", m.keyIssue(), m.keyWithdraw(), m.keyList())
+	return commandGroup("key", "keys of client accounts and of operators", m.keyIssue(), m.keyWithdraw(), m.keyList())
 }
 
 func operatorsFlag() cli.Flag {
 	return &cli.BoolFlag{Name: "operators", Usage: "operators' keys, not those of client accounts"}
 }
 
-// keys returns the list of keys that a command is about.
-func keys(c *cli.Command, v *config.Config) *[]credential.Credential {
+// credentials returns the list of keys that a command applies to.
+func credentials(c *cli.Command, v *config.Config) *[]credential.Credential {
 	if c.Bool("operators") {
 		return &v.Operators
 	}
--- a/cmd/key_issue.go
+++ b/cmd/key_issue.go
@@ -13,34 +13,35 @@
 	"celeryreach.example/celeryreach/credential"
 )
 
-// idLetters is how many random letters tell the keys of an account apart.
-const idLetters = 6
+// idSuffixLength is the number of random letters in a generated key ID. They
+// distinguish the keys of an account.
+const idSuffixLength = 6
 
 func (m *Cmd) keyIssue() *cli.Command {
 	f := append(waitFlags(), operatorsFlag(), &cli.StringFlag{Name: "id", Usage: "`ID` that names the key in commands and logs; drawn by default"})
-	return m.leaf("issue", "issue a key and show it this once", "ACCOUNT (with -operators: OPERATOR)", m.runKeyIssue, f...)
+	return m.operatorCommand("issue", "issue a key and show it this once", "ACCOUNT (with -operators: OPERATOR)", m.runKeyIssue, f...)
 }
 
-// runKeyIssue draws the key here: what travels to the host and is stored is
-// its hash.
+// runKeyIssue generates the key locally, so that only its hash is sent to the host
+// and stored.
 func (m *Cmd) runKeyIssue(ctx context.Context, c *cli.Command) error {
-	a, err := arguments(c, "ACCOUNT")
+	a, err := exactArgs(c, "ACCOUNT")
 	if err != nil {
 		return err
 	}
 	s := rand.Text()
 	k := credential.Credential{ID: c.String("id"), Account: a[0], Hash: credential.Hash(s)}
 	if k.ID == "" {
-		k.ID = a[0] + "-" + rand.Text()[:idLetters]
+		k.ID = a[0] + "-" + rand.Text()[:idSuffixLength]
 	}
 	if c.Bool("operators") {
 		k.ID, k.Account = a[0], ""
 	}
-	return m.edit(ctx, c, s, func(v *config.Config) error {
+	return m.editConfig(ctx, c, s, func(v *config.Config) error {
 		if k.Account != "" && !slices.ContainsFunc(v.Accounts, func(x account.Account) bool { return x.Name == k.Account }) {
 			return errors.Errorf("there is no client account %q", k.Account)
 		}
-		l := keys(c, v)
+		l := credentials(c, v)
 		if slices.ContainsFunc(*l, func(x credential.Credential) bool { return x.ID == k.ID }) {
 			return errors.Errorf("there is a key %q already", k.ID)
 		}
--- a/cmd/key_list.go
+++ b/cmd/key_list.go
@@ -7,20 +7,20 @@
 )
 
 func (m *Cmd) keyList() *cli.Command {
-	return m.leaf("list", "print the keys that work, by their ids", "", m.runKeyList, operatorsFlag())
+	return m.operatorCommand("list", "print the keys that work, by their ids", "", m.runKeyList, operatorsFlag())
 }
 
 func (m *Cmd) runKeyList(ctx context.Context, c *cli.Command) error {
-	v, err := m.current(ctx, c)
+	v, err := m.currentConfig(ctx, c)
 	if err != nil {
 		return err
 	}
-	l := *keys(c, v)
-	return m.write(c, l, func() {
+	l := *credentials(c, v)
+	return m.writeResult(c, l, func() {
 		r := [][]string{{"KEY", "ACCOUNT"}}
 		for _, k := range l {
 			r = append(r, []string{k.ID, k.Account})
 		}
-		m.table(r)
+		m.writeTable(r)
 	})
 }
--- a/cmd/key_withdraw.go
+++ b/cmd/key_withdraw.go
@@ -12,17 +12,17 @@
 )
 
 func (m *Cmd) keyWithdraw() *cli.Command {
-	return m.leaf("withdraw", "withdraw a key; with -wait, tell on how many hosts it no longer works", "ID", m.runKeyWithdraw,
+	return m.operatorCommand("withdraw", "withdraw a key; with -wait, tell on how many hosts it no longer works", "ID", m.runKeyWithdraw,
 		append(waitFlags(), operatorsFlag())...)
 }
 
 func (m *Cmd) runKeyWithdraw(ctx context.Context, c *cli.Command) error {
-	a, err := arguments(c, "ID")
+	a, err := exactArgs(c, "ID")
 	if err != nil {
 		return err
 	}
-	return m.edit(ctx, c, "", func(v *config.Config) error {
-		l := keys(c, v)
+	return m.editConfig(ctx, c, "", func(v *config.Config) error {
+		l := credentials(c, v)
 		n := len(*l)
 		*l = slices.DeleteFunc(*l, func(k credential.Credential) bool { return k.ID == a[0] })
 		if len(*l) == n {
--- a/cmd/leaf.go
+++ b/cmd/leaf.go
@@ -6,35 +6,36 @@
 	"github.com/urfave/cli/v3"
 )
 
-// leaf is an operators' command with the common flags.
-func (m *Cmd) leaf(name, usage, args string, action cli.ActionFunc, flags ...cli.Flag) *cli.Command {
+// operatorCommand returns a command with the flags common to all operators'
+// commands.
+func (m *Cmd) operatorCommand(name, usage, args string, action cli.ActionFunc, flags ...cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: usage, ArgsUsage: args, Flags: append(connectionFlags(), flags...), Action: action,
 		OnUsageError: usageError, HideHelpCommand: true,
 	}
 }
 
-// group holds commands.
-func group(name, usage string, commands ...*cli.Command) *cli.Command {
-	return &cli.Command{Name: name, Usage: usage, Commands: commands, OnUsageError: usageError, Action: missing}
+// commandGroup returns a command that only has subcommands.
+func commandGroup(name, usage string, commands ...*cli.Command) *cli.Command {
+	return &cli.Command{Name: name, Usage: usage, Commands: commands, OnUsageError: usageError, Action: missingSubcommand}
 }
 
-// root answers a command line without a command that exists.
-func root(_ context.Context, c *cli.Command) error {
+// runRoot handles a command line without a known command.
+func runRoot(_ context.Context, c *cli.Command) error {
 	if n := c.Args().First(); n != "" {
-		return &failure{code: exitUsage, text: "there is no command \"" + n + "\"; see celeryreach help"}
+		return &exitError{code: exitUsage, text: "there is no command \"" + n + "\"; see celeryreach help"}
 	}
 	return cli.ShowRootCommandHelp(c)
 }
 
-// missing refuses a group without a command of it: help with exit code 0 would
-// make a script go on after a slip.
-func missing(_ context.Context, c *cli.Command) error {
+// missingSubcommand rejects a call of a group without a known subcommand. Printing
+// the help with exit code 0 would let a script continue after a typing error.
+func missingSubcommand(_ context.Context, c *cli.Command) error {
 	t := c.FullName() + ": one of its commands is needed:"
 	for _, v := range c.Commands {
 		if v.Name != "help" {
 			t += " " + v.Name
 		}
 	}
-	return &failure{code: exitUsage, text: t}
+	return &exitError{code: exitUsage, text: t}
 }
--- a/cmd/lookup.go
+++ b/cmd/lookup.go
@@ -30,15 +30,15 @@
 }
 
 func (m *Cmd) runLookup(ctx context.Context, c *cli.Command) error {
-	a, err := arguments(c, "ACCOUNT", "SERVICE")
+	a, err := exactArgs(c, "ACCOUNT", "SERVICE")
 	if err != nil {
 		return err
 	}
-	u := m.option(c, "host", lookupVariable)
+	u := m.flagOrEnv(c, "host", lookupVariable)
 	if u == "" {
-		return &failure{code: exitUsage, text: "a host is needed: -host or " + lookupVariable}
+		return &exitError{code: exitUsage, text: "a host is needed: -host or " + lookupVariable}
 	}
-	t, err := m.transport(c)
+	t, err := m.newTransport(c)
 	if err != nil {
 		return err
 	}
@@ -49,11 +49,11 @@
 			q.Set(f, v)
 		}
 	}
-	r, err := lookUp(ctx, t, strings.TrimSuffix(u, "/")+"/lookup?"+q.Encode())
+	r, err := fetchLookup(ctx, t, strings.TrimSuffix(u, "/")+"/lookup?"+q.Encode())
 	if err != nil {
 		return err
 	}
-	return m.write(c, r, func() {
+	return m.writeResult(c, r, func() {
 		for _, h := range r.EntryHosts {
 			m.printf("%s\n", h)
 		}
@@ -61,7 +61,8 @@
 	})
 }
 
-func lookUp(ctx context.Context, t http.RoundTripper, u string) (answer.Answer, error) {
+// fetchLookup sends a look-up request to a host.
+func fetchLookup(ctx context.Context, t http.RoundTripper, u string) (answer.Answer, error) {
 	var a answer.Answer
 	x, f := context.WithTimeout(ctx, callTimeout)
 	defer f()
--- a/cmd/output.go
+++ b/cmd/output.go
@@ -13,8 +13,9 @@
 	"celeryreach.example/celeryreach/difference"
 )
 
-// write prints v as JSON for programs, or calls text for people.
-func (m *Cmd) write(c *cli.Command, v any, text func()) error {
+// writeResult prints v as JSON with -json, and otherwise calls text to print it
+// for people.
+func (m *Cmd) writeResult(c *cli.Command, v any, text func()) error {
 	if !c.Bool("json") {
 		text()
 		return nil
@@ -31,29 +32,29 @@
 	fmt.Fprintf(m.Out, format, args...)
 }
 
-// table prints rows in columns; the first row is the heading.
-func (m *Cmd) table(rows [][]string) {
+// writeTable prints rows in aligned columns. The first row is the heading.
+func (m *Cmd) writeTable(rows [][]string) {
 	w := tabwriter.NewWriter(m.Out, 0, 0, 2, ' ', 0)
 	for _, r := range rows {
 		for i, s := range r {
 			if i > 0 {
-				fmt.Fprint(w, "\t") //nolint:errcheck // Flush reports it
+				fmt.Fprint(w, "\t") //nolint:errcheck // Flush returns the error
 			}
-			fmt.Fprint(w, s) //nolint:errcheck // Flush reports it
+			fmt.Fprint(w, s) //nolint:errcheck // Flush returns the error
 		}
 		fmt.Fprintln(w)
 	}
-	_ = w.Flush() // a closed output has no reader to tell
+	_ = w.Flush() // nothing can be reported if the output is closed
 }
 
-func (m *Cmd) differences(heading string, d []difference.Difference) {
+func (m *Cmd) writeDifferences(heading string, d []difference.Difference) {
 	m.printf("%s\n", heading)
 	for _, v := range d {
 		m.printf("  %s\n", v)
 	}
 }
 
-// writePage writes a page to the file at path, nothing if there is no path.
+// writePage writes a page to the file at path. An empty path writes nothing.
 func writePage(path string, write func(w io.Writer) error) error {
 	if path == "" {
 		return nil
--- a/cmd/preset.go
+++ b/cmd/preset.go
@@ -9,10 +9,11 @@
 )
 
 func (m *Cmd) presetCommand() *cli.Command {
-	return group("preset", "sets of policy, of which exactly one is in force", m.presetList(), m.presetUse(), m.presetShow())
+	return commandGroup("preset", "sets of policy, of which exactly one is in force", m.presetList(), m.presetUse(), m.presetShow())
 }
 
-func find(v *config.Config, name string) (preset.Preset, error) {
+// findPreset returns the preset with the given name.
+func findPreset(v *config.Config, name string) (preset.Preset, error) {
 	for _, p := range v.Presets {
 		if p.Name == name {
 			return p, nil
--- a/cmd/preset_show.go
+++ b/cmd/preset_show.go
@@ -10,15 +10,15 @@
 )
 
 func (m *Cmd) presetShow() *cli.Command {
-	return m.leaf("show", "print a preset", "PRESET", m.runPresetShow)
+	return m.operatorCommand("show", "print a preset", "PRESET", m.runPresetShow)
 }
 
 func (m *Cmd) runPresetShow(ctx context.Context, c *cli.Command) error {
-	v, err := m.current(ctx, c, "PRESET")
+	v, err := m.currentConfig(ctx, c, "PRESET")
 	if err != nil {
 		return err
 	}
-	p, err := find(v, c.Args().First())
+	p, err := findPreset(v, c.Args().First())
 	if err != nil {
 		return err
 	}
--- a/cmd/preset_use.go
+++ b/cmd/preset_use.go
@@ -9,16 +9,16 @@
 )
 
 func (m *Cmd) presetUse() *cli.Command {
-	return m.leaf("use", "put a preset in force", "PRESET", m.runPresetUse, waitFlags()...)
+	return m.operatorCommand("use", "put a preset in force", "PRESET", m.runPresetUse, waitFlags()...)
 }
 
 func (m *Cmd) runPresetUse(ctx context.Context, c *cli.Command) error {
-	a, err := arguments(c, "PRESET")
+	a, err := exactArgs(c, "PRESET")
 	if err != nil {
 		return err
 	}
-	return m.edit(ctx, c, "", func(v *config.Config) error {
-		p, err := find(v, a[0])
+	return m.editConfig(ctx, c, "", func(v *config.Config) error {
+		p, err := findPreset(v, a[0])
 		v.Preset = p.Name
 		return err
 	})
--- a/cmd/report.go
+++ b/cmd/report.go
@@ -3,5 +3,5 @@
 import "github.com/urfave/cli/v3"
 
 func (m *Cmd) reportCommand() *cli.Command {
-	return group("report", "what all hosts have counted", m.reportBurn())
+	return commandGroup("report", "what all hosts have counted", m.reportBurn())
 }
--- a/cmd/report_burn.go
+++ b/cmd/report_burn.go
@@ -14,12 +14,12 @@
 )
 
 func (m *Cmd) reportBurn() *cli.Command {
-	return m.leaf("burn", "compare what all reachable hosts have counted with the service-level objectives", "", m.runReportBurn,
+	return m.operatorCommand("burn", "compare what all reachable hosts have counted with the service-level objectives", "", m.runReportBurn,
 		&cli.StringFlag{Name: "html", Usage: "also write a page with plots to `FILE`"})
 }
 
 func (m *Cmd) runReportBurn(ctx context.Context, c *cli.Command) error {
-	if _, err := arguments(c); err != nil {
+	if _, err := exactArgs(c); err != nil {
 		return err
 	}
 	n, err := m.connect(c)
@@ -35,12 +35,12 @@
 	if err != nil {
 		return err
 	}
-	g := n.gather(ctx, append(append([]member.Member{s.Host}, s.Peers...), s.Missing...))
+	g := n.collectSums(ctx, append(append([]member.Member{s.Host}, s.Peers...), s.Missing...))
 	var kept []sums.Sums
 	err = n.client.Get(ctx, "/burn/kept", &kept)
 	r := report.Build(v, append(g.sums, kept...), m.Clock.Now())
 	r.Hosts, r.Silent = g.hosts, g.silent
-	r.Replaced = replaced(kept)
+	r.Replaced = replacedProcesses(kept)
 	if err != nil {
 		r.Unkept = err.Error()
 	}
@@ -48,20 +48,22 @@
 		return err
 	}
 	var t error
-	if err := m.write(c, r, func() { t = r.Text(m.Out) }); err != nil {
+	if err := m.writeResult(c, r, func() { t = r.Text(m.Out) }); err != nil {
 		return err
 	}
 	return t
 }
 
-// gathered is what the hosts answered.
-type gathered struct {
+// burnResponses holds the counts of the hosts that responded, the names of these
+// hosts, and the errors of the others by host.
+type burnResponses struct {
 	sums   []sums.Sums
 	hosts  []string
 	silent map[string]string
 }
 
-func (n *connection) gather(ctx context.Context, hosts []member.Member) gathered {
+// collectSums requests the counts of all hosts in parallel.
+func (n *connection) collectSums(ctx context.Context, hosts []member.Member) burnResponses {
 	type answer struct {
 		host string
 		sums sums.Sums
@@ -71,11 +73,11 @@
 	for _, h := range hosts {
 		go func() {
 			a := answer{host: h.Name}
-			a.err = n.at(h).Get(ctx, "/burn", &a.sums)
+			a.err = n.clientFor(h).Get(ctx, "/burn", &a.sums)
 			c <- a
 		}()
 	}
-	g := gathered{silent: make(map[string]string)}
+	g := burnResponses{silent: make(map[string]string)}
 	for range hosts {
 		a := <-c
 		if a.err != nil {
@@ -88,7 +90,8 @@
 	return g
 }
 
-func replaced(kept []sums.Sums) []string {
+// replacedProcesses returns each host and incarnation in kept once.
+func replacedProcesses(kept []sums.Sums) []string {
 	var r []string
 	d := make(map[string]bool)
 	for _, s := range kept {
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -34,10 +34,10 @@
 	n := c.String("settings")
 	s, e, err := settings.Load(n)
 	if err != nil {
-		return &failure{code: exitMistakes, text: err.Error()}
+		return &exitError{code: exitInvalid, text: err.Error()}
 	}
 	if len(e) > 0 {
-		return &failure{code: exitMistakes, text: lines(n, e)}
+		return &exitError{code: exitInvalid, text: formatMistakes(n, e)}
 	}
 	if c.Bool("check") {
 		fmt.Fprintf(c.Root().Writer, "%s: no mistakes\n", n)
@@ -52,8 +52,8 @@
 	return h.Run(ctx)
 }
 
-// lines tells each mistake on a line of its own.
-func lines(file string, e []mistake.Mistake) string {
+// formatMistakes returns the number of mistakes and each mistake on its own line.
+func formatMistakes(file string, e []mistake.Mistake) string {
 	t := fmt.Sprintf("%d mistakes", len(e))
 	for _, v := range e {
 		t += fmt.Sprintf("\n%s: %s", file, v)
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -12,24 +12,24 @@
 	"celeryreach.example/celeryreach/status"
 )
 
-// overview tells programs the state of the whole deployment.
+// overview is the JSON output of status: the state of the entire deployment.
 type overview struct {
-	// Hosts are the answers of the hosts.
+	// Hosts holds the status of each host that responded.
 	Hosts []status.Status
-	// Silent are the hosts that did not answer.
-	Silent []place
-	// Drains name what is draining.
+	// Silent lists the hosts that did not respond.
+	Silent []hostVersion
+	// Drains lists everything that is draining.
 	Drains []string
 }
 
 func (m *Cmd) statusCommand() *cli.Command {
-	c := m.leaf("status", "print hosts, versions in force, preset, loads, parts of rates, drains and plan", "", m.runStatus)
+	c := m.operatorCommand("status", "print hosts, versions in force, preset, loads, parts of rates, drains and plan", "", m.runStatus)
 	c.Commands = []*cli.Command{m.statusWhy()}
 	return c
 }
 
 func (m *Cmd) runStatus(ctx context.Context, c *cli.Command) error {
-	if _, err := arguments(c); err != nil {
+	if _, err := exactArgs(c); err != nil {
 		return err
 	}
 	n, err := m.connect(c)
@@ -37,7 +37,7 @@
 		return err
 	}
 	defer n.close()
-	s, err := n.states(ctx)
+	s, err := n.hostStates(ctx)
 	if err != nil {
 		return err
 	}
@@ -48,16 +48,16 @@
 	var o overview
 	for _, x := range s {
 		if x.err != nil {
-			o.Silent = append(o.Silent, place{Host: x.member.Name, Error: x.err.Error()})
+			o.Silent = append(o.Silent, hostVersion{Host: x.member.Name, Error: x.err.Error()})
 			continue
 		}
 		o.Hosts = append(o.Hosts, x.status)
 	}
-	o.Drains = drains(v)
-	return m.write(c, o, func() { m.overview(s, o) })
+	o.Drains = drainingNames(v)
+	return m.writeResult(c, o, func() { m.writeOverview(s, o) })
 }
 
-func (m *Cmd) overview(s []state, o overview) {
+func (m *Cmd) writeOverview(s []hostState, o overview) {
 	r := [][]string{{"HOST", "DOMAIN", "REGION", "VERSION", "PRESET", "PEERS", "LENT", "BORROWED", "BUSY/SLOTS+WAITING"}}
 	for _, x := range s {
 		if x.err != nil {
@@ -67,11 +67,11 @@
 		t := x.status
 		r = append(r, []string{
 			t.Host.Name, t.Host.Domain, t.Host.Region, strconv.FormatUint(t.ConfigVersion, 10), t.Preset,
-			strconv.Itoa(len(t.Peers)), strconv.Itoa(t.SlotsLent), strconv.Itoa(t.SlotsBorrowed), loads(t),
+			strconv.Itoa(len(t.Peers)), strconv.Itoa(t.SlotsLent), strconv.Itoa(t.SlotsBorrowed), formatLoads(t),
 		})
 	}
-	m.table(r)
-	m.shares(o)
+	m.writeTable(r)
+	m.writeShares(o)
 	for _, d := range o.Drains {
 		m.printf("draining: %s\n", d)
 	}
@@ -86,8 +86,9 @@
 	}
 }
 
-// shares prints the hosts' parts of the rates, in requests a second.
-func (m *Cmd) shares(o overview) {
+// writeShares prints each host's share of the accounts' rates, in requests per
+// second.
+func (m *Cmd) writeShares(o overview) {
 	r := [][]string{{"ACCOUNT"}}
 	a := make(map[string]int)
 	for _, t := range o.Hosts {
@@ -112,10 +113,11 @@
 		}
 	}
 	m.printf("\nparts of the rates, requests a second\n")
-	m.table(r)
+	m.writeTable(r)
 }
 
-func loads(t status.Status) string {
+// formatLoads formats the load of each service as BUSY/SLOTS+WAITING.
+func formatLoads(t status.Status) string {
 	var r []string
 	for _, l := range t.Loads {
 		r = append(r, fmt.Sprintf("%s %d/%d+%d", l.Service, l.Busy, l.Slots, l.Waiting))
@@ -123,7 +125,8 @@
 	return strings.Join(r, ", ")
 }
 
-func drains(v *config.Config) []string {
+// drainingNames returns the names of everything that is draining.
+func drainingNames(v *config.Config) []string {
 	var r []string
 	for _, x := range v.Regions {
 		if x.Draining {
--- a/cmd/status_why.go
+++ b/cmd/status_why.go
@@ -13,13 +13,13 @@
 )
 
 func (m *Cmd) statusWhy() *cli.Command {
-	return m.leaf("why", "tell why a caller goes where it goes", "ACCOUNT SERVICE", m.runStatusWhy,
+	return m.operatorCommand("why", "tell why a caller goes where it goes", "ACCOUNT SERVICE", m.runStatusWhy,
 		&cli.StringFlag{Name: "region", Usage: "the caller's `REGION`"},
 		&cli.StringFlag{Name: "address", Usage: "the caller's IP `ADDRESS`"})
 }
 
 func (m *Cmd) runStatusWhy(ctx context.Context, c *cli.Command) error {
-	a, err := arguments(c, "ACCOUNT", "SERVICE")
+	a, err := exactArgs(c, "ACCOUNT", "SERVICE")
 	if err != nil {
 		return err
 	}
@@ -33,10 +33,10 @@
 	if err := n.client.Get(ctx, "/why?"+q.Encode(), &w); err != nil {
 		return err
 	}
-	return m.write(c, w, func() { m.why(w) })
+	return m.writeResult(c, w, func() { m.writeWhy(w) })
 }
 
-func (m *Cmd) why(w why.Why) {
+func (m *Cmd) writeWhy(w why.Why) {
 	b := w.Block
 	if b == "" {
 		b = "no client block has the address"
--- a/cmd/steer.go
+++ b/cmd/steer.go
@@ -12,7 +12,8 @@
 	"celeryreach.example/celeryreach/platform"
 )
 
-// bootVariable holds the path of the settings that the users' platform writes.
+// bootVariable is the environment variable with the path of the settings file that
+// the users' platform writes.
 const bootVariable = "CELERYREACH_BOOT"
 
 func steerCommand() *cli.Command {
@@ -34,16 +35,16 @@
 	d := make(chan struct{})
 	go func() {
 		defer close(d)
-		_ = s.Run(x) // it ends without an error when x does
+		_ = s.Run(x) // Run returns no error when x is canceled
 	}()
 	defer func() { f(); <-d }()
 	p := &platform.Platform{Path: c.String("settings"), Clock: k, Log: log.NewWithOptions(s, logOptions)}
 	e, err := p.Check()
 	if err != nil {
-		return &failure{code: exitMistakes, text: err.Error()}
+		return &exitError{code: exitInvalid, text: err.Error()}
 	}
 	if len(e) > 0 {
-		return &failure{code: exitMistakes, text: lines(p.Path, e)}
+		return &exitError{code: exitInvalid, text: formatMistakes(p.Path, e)}
 	}
 	if c.Bool("check") {
 		return nil
--- a/cmd/written_test.go
+++ b/cmd/written_test.go
@@ -7,8 +7,8 @@
 )
 
 func TestWritten(t *testing.T) {
-	writtenform.Check(t, "changed", new(changed))
-	writtenform.Check(t, "conflict", new(conflict))
-	writtenform.Check(t, "checked", new(checked))
+	writtenform.Check(t, "changed", new(changeResult))
+	writtenform.Check(t, "conflict", new(conflictResult))
+	writtenform.Check(t, "checked", new(checkResult))
 	writtenform.Check(t, "overview", new(overview))
 }
--- a/drained/drained.go
+++ b/drained/drained.go
@@ -1,14 +1,14 @@
-// Package drained describes drains that ended.
+// Package drained describes completed drains.
 package drained
 
 import "time"
 
-// Drained is one backend server that became idle on one host.
+// Drained describes a draining backend server that became idle on one host.
 type Drained struct {
-	// At is when it became idle.
+	// At is the time at which the backend server became idle.
 	At time.Time
-	// Backend is the backend server.
+	// Backend is the name of the backend server.
 	Backend string
-	// Took is the time from the first sign of the drain.
+	// Took is the time since the host first detected the drain.
 	Took time.Duration
 }
--- a/operatorclient/operatorclient.go
+++ b/operatorclient/operatorclient.go
@@ -1,4 +1,4 @@
-// Package operatorclient calls the operators' interface of a host.
+// Package operatorclient is a client for the operators' interface of a host.
 package operatorclient
 
 import (
@@ -18,15 +18,15 @@
 	"celeryreach.example/celeryreach/status"
 )
 
-// Operatorclient calls one host.
+// Operatorclient sends requests to the operators' interface of one host.
 type Operatorclient struct {
 	// URL is the base URL of the host's operators' interface.
 	URL string
 	// Key is the operator's key.
 	Key string
-	// Timeout bounds each call.
+	// Timeout limits each request.
 	Timeout time.Duration
-	// Transport carries the calls.
+	// Transport sends the requests.
 	Transport http.RoundTripper
 }
 
@@ -36,28 +36,29 @@
 	return c, o.call(ctx, http.MethodGet, "/config", nil, c)
 }
 
-// Former returns a former version, as long as the host remembers it.
+// Former returns an earlier version, if the host still holds it in its history.
 func (o *Operatorclient) Former(ctx context.Context, version uint64) (*config.Config, error) {
 	c := new(config.Config)
 	return c, o.call(ctx, http.MethodGet, "/config?version="+strconv.FormatUint(version, 10), nil, c)
 }
 
-// Change makes c the successor of version from. A conflict or a mistake is a
-// *problem.Problem.
+// Change commits c as the successor of version from. A conflict or an invalid
+// configuration is returned as a *problem.Problem.
 func (o *Operatorclient) Change(ctx context.Context, from uint64, c *config.Config) (accepted.Accepted, error) {
 	var a accepted.Accepted
 	err := o.call(ctx, http.MethodPut, "/config?from="+strconv.FormatUint(from, 10), c, &a)
 	return a, err
 }
 
-// Status returns what the host knows.
+// Status returns the state known to the host.
 func (o *Operatorclient) Status(ctx context.Context) (status.Status, error) {
 	var s status.Status
 	err := o.call(ctx, http.MethodGet, "/status", nil, &s)
 	return s, err
 }
 
-// Get reads any other document of the interface.
+// Get requests any other path of the interface and decodes the response into
+// out.
 func (o *Operatorclient) Get(ctx context.Context, path string, out any) error {
 	return o.call(ctx, http.MethodGet, path, nil, out)
 }
@@ -88,12 +89,14 @@
 		return errors.Wrap(err, "answer")
 	}
 	if p.StatusCode != http.StatusOK {
-		return refused(p, b)
+		return responseError(p, b)
 	}
 	return errors.Wrap(codec.Unmarshal(b, out), "answer")
 }
 
-func refused(p *http.Response, b []byte) error {
+// responseError converts an error response to a *problem.Problem, or to a plain
+// error if the body is not a problem.
+func responseError(p *http.Response, b []byte) error {
 	e := new(problem.Problem)
 	if err := codec.Unmarshal(b, e); err != nil || e.Problem == "" {
 		return errors.Errorf("host: %s", p.Status)
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -1,4 +1,4 @@
-// Package problem describes why an operator's call was refused.
+// Package problem describes why an operator's request was refused.
 package problem
 
 import (
@@ -9,41 +9,42 @@
 	"celeryreach.example/celeryreach/difference"
 )
 
-// Problem is the body of every refusal of the operators' interface.
+// Problem is the body of every error response of the operators' interface.
 type Problem struct {
 	// Problem is the cause, one of the constants of this package.
 	Problem string
-	// Message says the cause in words.
+	// Message describes the cause.
 	Message string
-	// Mistakes are all mistakes of a refused configuration.
+	// Mistakes lists all mistakes in a refused configuration.
 	Mistakes []string `json:",omitzero"`
-	// Accepted is the version that was accepted in between, after a conflict.
+	// Accepted is the currently accepted version, set for a conflict.
 	Accepted accepted.Accepted `json:",omitzero"`
-	// Yours is what the refused change would have changed.
+	// Yours lists the differences that the refused change would have made.
 	Yours []difference.Difference `json:",omitzero"`
-	// Theirs is what was changed in between.
+	// Theirs lists the differences made by the changes that were accepted since
+	// the base version.
 	Theirs []difference.Difference `json:",omitzero"`
 }
 
 // Values of Problem.
 const (
-	// KeyUnknown is a missing, wrong or withdrawn operator's key.
+	// KeyUnknown means that the operator's key is missing, wrong or withdrawn.
 	KeyUnknown = "KeyUnknown"
-	// Unconfigured is a host that has no configuration yet.
+	// Unconfigured means that the host has no configuration yet.
 	Unconfigured = "Unconfigured"
-	// BadRequest is a call that the interface does not have.
+	// BadRequest means that the interface does not support the request.
 	BadRequest = "BadRequest"
-	// Mistaken is a configuration with mistakes; nothing was changed.
+	// Mistaken means that the configuration has mistakes; nothing was changed.
 	Mistaken = "Mistaken"
-	// Conflict is a change that was made from a version that is no longer the
-	// accepted one; nothing was changed.
+	// Conflict means that the base version of the change is no longer the
+	// accepted version; nothing was changed.
 	Conflict = "Conflict"
-	// Unknown is a change whose outcome is not known: the platform failed
-	// while it was written.
+	// Unknown means that the platform failed during the write, so the outcome of
+	// the change is unknown.
 	Unknown = "Unknown"
 )
 
-// Error returns the cause in words.
+// Error returns the cause, the message and all mistakes.
 func (p *Problem) Error() string {
 	if len(p.Mistakes) == 0 {
 		return fmt.Sprintf("%s: %s", p.Problem, p.Message)
--- a/report/builder.go
+++ b/report/builder.go
@@ -13,42 +13,45 @@
 	"celeryreach.example/celeryreach/tally"
 )
 
-// builder indexes the counts of all hosts.
+// builder aggregates the counts of all hosts.
 type builder struct {
 	config   *config.Config
-	all      []sums.Sums
+	hostSums []sums.Sums
 	now      time.Time
-	wrongful map[string]map[int64]uint64
-	// cells hold the counts by window, service, account and region. The many
-	// sums of a report are made from these few, not from every minute of every
-	// host.
-	cells map[time.Duration]map[scope]*tally.Tally
+	// wrongfulBySecond holds the wrongful refusals by account and Unix second.
+	wrongfulBySecond map[string]map[int64]uint64
+	// aggregates holds the counts by window, service, account and region. The
+	// report computes its many sums from these few entries instead of from every
+	// minute of every host.
+	aggregates map[time.Duration]map[scope]*tally.Tally
 }
 
-// scope picks counts; an empty field means all.
+// scope selects counts by service, account and region. An empty field matches
+// all.
 type scope struct {
 	service, account, region string
 }
 
 func newBuilder(c *config.Config, all []sums.Sums, now time.Time) *builder {
-	b := &builder{config: c, all: all, now: now, wrongful: make(map[string]map[int64]uint64), cells: make(map[time.Duration]map[scope]*tally.Tally)}
+	b := &builder{config: c, hostSums: all, now: now, wrongfulBySecond: make(map[string]map[int64]uint64), aggregates: make(map[time.Duration]map[scope]*tally.Tally)}
 	var s []second.Second
 	for _, v := range all {
 		s = append(s, v.Seconds...)
 	}
 	for _, a := range c.Accounts {
-		b.wrongful[a.Name] = replay.Wrongful(a, s)
+		b.wrongfulBySecond[a.Name] = replay.Wrongful(a, s)
 	}
 	for _, w := range Windows {
-		b.cells[w] = b.cut(w)
+		b.aggregates[w] = b.aggregate(w)
 	}
 	return b
 }
 
-func (b *builder) cut(window time.Duration) map[scope]*tally.Tally {
+// aggregate sums the counts within the window by service, account and region.
+func (b *builder) aggregate(window time.Duration) map[scope]*tally.Tally {
 	r := make(map[scope]*tally.Tally)
 	m := b.now.Add(-window).Unix() / 60
-	for _, h := range b.all {
+	for _, h := range b.hostSums {
 		for _, v := range h.Tallies {
 			if v.Minute <= m {
 				continue
@@ -63,10 +66,10 @@
 	return r
 }
 
-// sum adds up the counts of a scope in a window.
+// sum returns the total of all counts of a scope in a window.
 func (b *builder) sum(s scope, window time.Duration) tally.Tally {
 	var t tally.Tally
-	for k, v := range b.cells[window] {
+	for k, v := range b.aggregates[window] {
 		if (s.service == "" || s.service == k.service) && (s.account == "" || s.account == k.account) && (s.region == "" || s.region == k.region) {
 			t.Add(*v)
 		}
@@ -74,13 +77,14 @@
 	return t
 }
 
-// wrong returns the wrongful refusals for the rate in a scope. The replay
-// knows accounts only, since rates count over all hosts and services; they are
-// dealt out by the refusals of each service and region.
-func (b *builder) wrong(s scope, window time.Duration) float64 {
+// wrongfulRefusals estimates the wrongful rate refusals in a scope. The replay
+// yields them by account only, because rates apply across all hosts and services.
+// They are distributed in proportion to the rate refusals of each service and
+// region.
+func (b *builder) wrongfulRefusals(s scope, window time.Duration) float64 {
 	r := 0.0
-	for _, a := range b.accountsOf(s) {
-		w := b.wrongfulOf(a.Name, window)
+	for _, a := range b.scopedAccounts(s) {
+		w := b.accountWrongful(a.Name, window)
 		if w == 0 {
 			continue
 		}
@@ -93,10 +97,11 @@
 	return r
 }
 
-func (b *builder) wrongfulOf(account string, window time.Duration) uint64 {
+// accountWrongful returns the wrongful refusals of an account in a window.
+func (b *builder) accountWrongful(account string, window time.Duration) uint64 {
 	var w uint64
 	m := b.now.Add(-window).Unix() / 60
-	for s, n := range b.wrongful[account] {
+	for s, n := range b.wrongfulBySecond[account] {
 		if s/60 > m {
 			w += n
 		}
@@ -104,7 +109,8 @@
 	return w
 }
 
-func (b *builder) accountsOf(s scope) []account.Account {
+// scopedAccounts returns the configured accounts that a scope includes.
+func (b *builder) scopedAccounts(s scope) []account.Account {
 	if s.account == "" {
 		return b.config.Accounts
 	}
@@ -116,9 +122,9 @@
 	return nil
 }
 
-// budgets adds the budgets of one objective: of the whole service, of each
-// client account and of each region.
-func (b *builder) budgets(r *Report, o objective.Objective) {
+// addBudgets adds the error budgets of one objective: for the entire
+// service, for each client account and for each region.
+func (b *builder) addBudgets(r *Report, o objective.Objective) {
 	s := []scope{{service: o.Service}}
 	for _, a := range b.config.Accounts {
 		s = append(s, scope{service: o.Service, account: a.Name})
@@ -141,17 +147,18 @@
 	r := budget{Service: s.service, Account: s.account, Region: s.region, Objective: objective, Target: target}
 	for _, w := range Windows {
 		t := b.sum(s, w)
-		a, o := parts(objective, t, b.wrong(s, w))
-		r.Rates = append(r.Rates, rate{Window: w, Total: uint64(o + 0.5), Bad: uint64(a + 0.5), Burn: burn(a, o, allowed)})
+		a, o := badAndTotal(objective, t, b.wrongfulRefusals(s, w))
+		r.Rates = append(r.Rates, windowRate{Window: w, Total: uint64(o + 0.5), Bad: uint64(a + 0.5), Burn: burnRate(a, o, allowed)})
 	}
-	r.Alert = alert(r.Rates)
+	r.Alert = alertLevel(r.Rates)
 	return r
 }
 
-// parts returns what counts against an objective and of how many. A refusal
-// over the rate that was rightful counts nowhere: it is the account's own
-// doing. Neither does a caller that left, who got what it wanted or not.
-func parts(objective string, t tally.Tally, wrongful float64) (bad, total float64) {
+// badAndTotal returns the number of requests that violate an objective and the
+// number of requests that the objective applies to. Justified rate refusals are
+// excluded because the account caused them. Callers that disconnected are
+// excluded too, whether or not they received what they needed.
+func badAndTotal(objective string, t tally.Tally, wrongful float64) (bad, total float64) {
 	i := float64(t.Inside) + wrongful
 	switch objective {
 	case Latency:
@@ -163,39 +170,43 @@
 	}
 }
 
-func burn(bad, total, allowed float64) float64 {
+// burnRate returns the ratio of the bad fraction to the allowed fraction, at
+// most maxBurnRate.
+func burnRate(bad, total, allowed float64) float64 {
 	switch {
 	case bad <= 0 || total <= 0:
 		return 0
 	case allowed <= 0:
-		return endless
+		return maxBurnRate
 	default:
-		return min(endless, bad/total/allowed)
+		return min(maxBurnRate, bad/total/allowed)
 	}
 }
 
-// alert asks for a short and a long window together: the long one shows that
-// the budget is really going, the short one that it still is.
-func alert(r []rate) string {
-	o := func(i int, limit float64) bool { return r[i].Burn >= limit && r[i].Total >= least }
+// alertLevel requires a high burn rate in both a short and a long window: the
+// long window shows that the budget is being consumed to a relevant degree, the
+// short one that this still continues.
+func alertLevel(r []windowRate) string {
+	o := func(i int, limit float64) bool { return r[i].Burn >= limit && r[i].Total >= minAlertRequests }
 	switch {
-	case o(0, fastBurn) && o(2, fastBurn):
+	case o(0, fastBurnRate) && o(2, fastBurnRate):
 		return Fast
-	case o(1, slowBurn) && o(3, slowBurn):
+	case o(1, slowBurnRate) && o(3, slowBurnRate):
 		return Slow
 	default:
 		return ""
 	}
 }
 
-func (b *builder) accounts() []share {
+// accountSummaries returns the totals of each account over the longest window.
+func (b *builder) accountSummaries() []accountSummary {
 	w := Windows[len(Windows)-1]
-	var r []share
+	var r []accountSummary
 	for _, a := range b.config.Accounts {
 		t := b.sum(scope{account: a.Name}, w)
-		r = append(r, share{
+		r = append(r, accountSummary{
 			Account: a.Name, Answered: t.Answered, Left: t.Left, Failed: t.Failed, Inside: t.Inside, OverRate: t.OverRate,
-			Wrongful: b.wrongfulOf(a.Name, w),
+			Wrongful: b.accountWrongful(a.Name, w),
 		})
 	}
 	sort.Slice(r, func(i, j int) bool { return r[i].Account < r[j].Account })
--- a/report/measures.go
+++ b/report/measures.go
@@ -10,17 +10,19 @@
 	"celeryreach.example/celeryreach/tally"
 )
 
-// recent is the window of the measures that have no budget.
-const recent = time.Hour
+// recentWindow is the window of the measures without an error budget.
+const recentWindow = time.Hour
 
-func (b *builder) worst(o objective.Objective) []worst {
+// worstServed returns the account with the smallest fraction of complete answers.
+// It returns nothing if the service has no such objective or had no requests.
+func (b *builder) worstServed(o objective.Objective) []worstAccount {
 	if o.WorstShare == 0 {
 		return nil
 	}
-	r := worst{Service: o.Service, Served: 2, Target: o.WorstShare}
+	r := worstAccount{Service: o.Service, Served: 2, Target: o.WorstShare}
 	for _, a := range b.config.Accounts {
 		s := scope{service: o.Service, account: a.Name}
-		d, t := parts(Whole, b.sum(s, recent), b.wrong(s, recent))
+		d, t := badAndTotal(Whole, b.sum(s, recentWindow), b.wrongfulRefusals(s, recentWindow))
 		if t > 0 && (t-d)/t < r.Served {
 			r.Account = a.Name
 			r.Served = (t - d) / t
@@ -30,18 +32,20 @@
 		return nil
 	}
 	r.Met = r.Served >= r.Target
-	return []worst{r}
+	return []worstAccount{r}
 }
 
+// headroom returns the fraction of free slots in each region, or nothing if the
+// service has no such objective.
 func (b *builder) headroom(o objective.Objective) []headroom {
 	if o.Headroom == 0 {
 		return nil
 	}
 	var r []headroom
-	m := b.now.Add(-recent).Unix() / 60
+	m := b.now.Add(-recentWindow).Unix() / 60
 	for _, g := range b.config.Regions {
 		var slots, busy uint64
-		for _, h := range b.all {
+		for _, h := range b.hostSums {
 			for _, u := range h.Usages {
 				if h.Region == g.Name && u.Service == o.Service && u.Minute > m {
 					slots += u.Slots
@@ -67,7 +71,7 @@
 		}
 	}
 	var r []drain
-	for _, h := range b.all {
+	for _, h := range b.hostSums {
 		for _, d := range h.Drains {
 			x := drain{Backend: d.Backend, Host: h.Host, At: d.At, Took: d.Took, Target: t[d.Backend]}
 			x.Met = x.Target == 0 || x.Took <= x.Target
@@ -78,11 +82,11 @@
 	return r
 }
 
-// latency merges the histograms of all hosts. A histogram that cannot be read
-// comes from a newer host; its answers are missing in Answers.
+// latency merges the histograms of all hosts. A histogram that cannot be decoded
+// comes from a newer host; it is skipped, so Answers does not include its answers.
 func (b *builder) latency(o objective.Objective) []latency {
 	var m *hdrhistogram.Histogram
-	for _, h := range b.all {
+	for _, h := range b.hostSums {
 		e, ok := h.Latencies[o.Service]
 		if !ok {
 			continue
@@ -107,11 +111,11 @@
 	}}
 }
 
-// minutes returns for each minute the faster of the burns for latency and for
-// whole answers.
-func (b *builder) minutes(o objective.Objective) []point {
+// burnByMinute returns for each minute the higher of the burn rates for latency
+// and for complete answers.
+func (b *builder) burnByMinute(o objective.Objective) []burnPoint {
 	m := make(map[int64]*tally.Tally)
-	for _, h := range b.all {
+	for _, h := range b.hostSums {
 		for _, v := range h.Tallies {
 			if v.Service != o.Service {
 				continue
@@ -123,18 +127,19 @@
 		}
 	}
 	w := b.wrongfulByMinute(o.Service)
-	var r []point
+	var r []burnPoint
 	for k, t := range m {
-		x, n := parts(Latency, *t, 0)
-		y, z := parts(Whole, *t, w[k])
-		f := max(burn(x, n, 1-o.LatencyFraction), burn(y, z, 1-o.WholeFraction))
-		r = append(r, point{Minute: k, Service: o.Service, Burn: f})
+		x, n := badAndTotal(Latency, *t, 0)
+		y, z := badAndTotal(Whole, *t, w[k])
+		f := max(burnRate(x, n, 1-o.LatencyFraction), burnRate(y, z, 1-o.WholeFraction))
+		r = append(r, burnPoint{Minute: k, Service: o.Service, Burn: f})
 	}
 	sort.Slice(r, func(i, j int) bool { return r[i].Minute < r[j].Minute })
 	return r
 }
 
-// wrongfulByMinute deals the wrongful refusals out to a service like wrong.
+// wrongfulByMinute distributes the wrongful refusals to a service in the same
+// proportion as wrongfulRefusals.
 func (b *builder) wrongfulByMinute(service string) map[int64]float64 {
 	r := make(map[int64]float64)
 	d := Windows[len(Windows)-1]
@@ -144,7 +149,7 @@
 			continue
 		}
 		f := float64(b.sum(scope{account: a.Name, service: service}, d).OverRate) / float64(l)
-		for s, n := range b.wrongful[a.Name] {
+		for s, n := range b.wrongfulBySecond[a.Name] {
 			r[s/60] += f * float64(n)
 		}
 	}
--- a/report/report.go
+++ b/report/report.go
@@ -1,4 +1,4 @@
-// Package report compares what all hosts have counted with the service-level
+// Package report compares the counts of all hosts with the service-level
 // objectives.
 package report
 
@@ -18,55 +18,56 @@
 
 // Values of Alert.
 const (
-	// Fast says that the budget of a month would be gone in two days.
+	// Fast means that a monthly budget would be used up in two days.
 	Fast = "fast"
-	// Slow says that it would be gone in five days.
+	// Slow means that a monthly budget would be used up in five days.
 	Slow = "slow"
 )
 
-// Windows are the times over which budgets are compared, shortest first.
+// Windows lists the windows over which burn rates are computed, shortest first.
 var Windows = []time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, 6 * time.Hour}
 
 const (
-	fastBurn = 14.4
-	slowBurn = 6
-	// least is how many requests a window needs for an alert: one failure of
-	// three requests is no burn rate.
-	least = 20
-	// endless stands for a burn of a budget of zero.
-	endless = 1000
+	fastBurnRate = 14.4
+	slowBurnRate = 6
+	// minAlertRequests is the number of requests that a window needs for an
+	// alert: one failure in three requests gives no meaningful burn rate.
+	minAlertRequests = 20
+	// maxBurnRate limits the reported burn rate. It is also the burn rate of a
+	// budget of zero.
+	maxBurnRate = 1000
 )
 
 // Report is the burn report.
 type Report struct {
-	// At is when it was made.
+	// At is the time at which the report was built.
 	At time.Time
-	// Hosts are the hosts that answered.
+	// Hosts lists the hosts that responded.
 	Hosts []string
-	// Silent are the hosts that did not answer, and why. Their counts are
-	// missing.
+	// Silent maps each host that did not respond to the error. The counts of
+	// these hosts are missing.
 	Silent map[string]string
-	// Replaced are processes that no longer run, whose counts the platform
-	// has kept.
+	// Replaced lists processes that no longer run and whose counts were stored
+	// on the platform.
 	Replaced []string
-	// Unkept says why the platform's counts are missing.
+	// Unkept is the error that occurred while reading the stored counts.
 	Unkept string `json:",omitzero"`
-	// Alerts name the budgets that burn too fast.
+	// Alerts lists the budgets whose burn rate is too high.
 	Alerts []string
-	// Budgets are the error budgets by service, by account and by region.
+	// Budgets holds the error budgets by service, account and region.
 	Budgets []budget
-	// Worst are the worst-served client accounts.
-	Worst []worst
-	// Headroom are the free slots.
+	// Worst holds the worst-served client account of each service.
+	Worst []worstAccount
+	// Headroom holds the fraction of free slots by service and region.
 	Headroom []headroom
-	// Drains are the drains that ended.
+	// Drains lists the completed drains.
 	Drains []drain
-	// Latencies are percentiles over the last hour.
+	// Latencies holds the latency percentiles of the last hour by service.
 	Latencies []latency
-	// Accounts sum up the client accounts over the longest window.
-	Accounts []share
-	// Minutes are the burn rates minute by minute, for plots.
-	Minutes []point
+	// Accounts summarizes each client account over the longest window.
+	Accounts []accountSummary
+	// Minutes holds the burn rates of each minute, for plots.
+	Minutes []burnPoint
 }
 
 // budget is one error budget. An empty Account or Region means all.
@@ -74,21 +75,22 @@
 	Service, Account, Region string
 	Objective                string
 	Target                   float64
-	Rates                    []rate
+	Rates                    []windowRate
 	Alert                    string `json:",omitzero"`
 }
 
-// rate is what one window has burnt: 1 uses the budget up exactly.
-type rate struct {
+// windowRate is the burn rate in one window. At a rate of 1, the budget is used
+// up exactly.
+type windowRate struct {
 	Window time.Duration
 	Total  uint64
 	Bad    uint64
 	Burn   float64
 }
 
-// worst is the client account that got the least of its due: of the requests
-// inside its rate whose callers waited, the part that was answered whole.
-type worst struct {
+// worstAccount is the client account with the smallest fraction of complete
+// answers among its requests that were within its rate and whose callers waited.
+type worstAccount struct {
 	Service, Account string
 	Served, Target   float64
 	Met              bool
@@ -115,41 +117,43 @@
 	TargetFraction      float64
 }
 
-// share sums up one account. Of the refusals over the rate, Wrongful were
-// inside it.
-type share struct {
+// accountSummary holds the totals of one account. Wrongful is the part of
+// OverRate that was within the account's rate.
+type accountSummary struct {
 	Account                                            string
 	Answered, Left, Failed, Inside, OverRate, Wrongful uint64
 }
 
-type point struct {
+// burnPoint is the burn rate of a service in one minute.
+type burnPoint struct {
 	Minute  int64
 	Service string
 	Burn    float64
 }
 
-// Build makes the report. The configuration holds objectives and rates.
+// Build computes the report from the counts of all hosts. The objectives and
+// rates are taken from c.
 func Build(c *config.Config, all []sums.Sums, now time.Time) *Report {
 	b := newBuilder(c, all, now)
 	r := &Report{At: now.UTC(), Silent: make(map[string]string)}
 	for _, o := range c.Objectives {
-		b.budgets(r, o)
-		r.Worst = append(r.Worst, b.worst(o)...)
+		b.addBudgets(r, o)
+		r.Worst = append(r.Worst, b.worstServed(o)...)
 		r.Headroom = append(r.Headroom, b.headroom(o)...)
 		r.Latencies = append(r.Latencies, b.latency(o)...)
-		r.Minutes = append(r.Minutes, b.minutes(o)...)
+		r.Minutes = append(r.Minutes, b.burnByMinute(o)...)
 	}
 	r.Drains = b.drains()
-	r.Accounts = b.accounts()
+	r.Accounts = b.accountSummaries()
 	for _, v := range r.Budgets {
 		if v.Alert != "" {
-			r.Alerts = append(r.Alerts, v.Alert+": "+v.name())
+			r.Alerts = append(r.Alerts, v.Alert+": "+v.description())
 		}
 	}
 	return r
 }
 
-func (b budget) name() string {
+func (b budget) description() string {
 	n := b.Objective + " of " + b.Service
 	if b.Account != "" {
 		n += " for " + b.Account
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -29,7 +29,7 @@
 
 var now = time.Date(2026, 3, 1, 12, 0, 30, 0, time.UTC)
 
-// Each script holds a configuration, what the hosts have counted, and the
+// Each script holds a configuration, the counts of the hosts and the expected
 // report. UPDATE=1 rewrites the reports.
 func TestReports(t *testing.T) {
 	f, err := filepath.Glob("testdata/*.txtar")
@@ -43,7 +43,7 @@
 			must.NoError(t, err)
 			var c config.Config
 			must.SliceEmpty(t, d.Decode(&c))
-			r := report.Build(&c, counts(t, string(a.Files[1].Data)), now)
+			r := report.Build(&c, parseCounts(t, string(a.Files[1].Data)), now)
 			var b bytes.Buffer
 			must.NoError(t, r.Text(&b))
 			if os.Getenv("UPDATE") != "" {
@@ -59,9 +59,9 @@
 	}
 }
 
-// counts reads one host's counts from "host NAME REGION" to the next. Minutes
-// and seconds are counted back from now.
-func counts(t *testing.T, text string) []sums.Sums {
+// parseCounts parses the counts of all hosts. A line "host NAME REGION" starts a
+// host. Minutes and seconds are given as offsets into the past from now.
+func parseCounts(t *testing.T, text string) []sums.Sums {
 	t.Helper()
 	var r []sums.Sums
 	s := bufio.NewScanner(strings.NewReader(text))
@@ -109,8 +109,8 @@
 	return r
 }
 
-// BenchmarkBuild makes the report of 11 hosts with 8 accounts and 4 services
-// that were busy for six hours.
+// BenchmarkBuild builds the report of 11 hosts with 8 accounts and 4 services that
+// were busy for six hours.
 func BenchmarkBuild(b *testing.B) {
 	c := config.Config{Regions: []region.Region{{Name: "north"}, {Name: "south"}, {Name: "west"}}}
 	all := make([]sums.Sums, 11)
--- a/sums/sums.go
+++ b/sums/sums.go
@@ -1,4 +1,4 @@
-// Package sums describes what one host has counted for the burn report.
+// Package sums describes the counts of one host for the burn report.
 package sums
 
 import (
@@ -10,26 +10,28 @@
 	"celeryreach.example/celeryreach/usage"
 )
 
-// Sums are the counts of one host since its start, for the longest window.
+// Sums holds the counts of one host since its start, limited to the longest
+// window of the report.
 type Sums struct {
-	// Host is the host.
+	// Host is the name of the host.
 	Host string
-	// Incarnation is its incarnation: sums of two incarnations add up.
+	// Incarnation is the incarnation of the host. The counts of two incarnations are
+	// independent and can be added.
 	Incarnation uint64
-	// Region is its region.
+	// Region is the region of the host.
 	Region string
-	// At is when the sums were taken.
+	// At is the time at which the counts were read.
 	At time.Time
-	// Tallies are the counts by minute, account and service.
+	// Tallies holds the counts by minute, account and service.
 	Tallies []tally.Tally
-	// Seconds are the counts against rates.
+	// Seconds holds the admitted and refused requests by second and account.
 	Seconds []second.Second
-	// Usages are the slots by minute and service.
+	// Usages holds the slot usage by minute and service.
 	Usages []usage.Usage
-	// Drains are the drains that ended.
+	// Drains lists the completed drains.
 	Drains []drained.Drained
-	// Latencies hold a histogram of the time to the end of a whole answer, in
-	// microseconds, for each service in the last hour, in HdrHistogram's
-	// encoding.
+	// Latencies holds, for each service, a histogram of the times to the end of a
+	// complete answer in the last hour, in microseconds and in the encoding of
+	// HdrHistogram.
 	Latencies map[string][]byte
 }
--- a/tally/tally.go
+++ b/tally/tally.go
@@ -2,35 +2,37 @@
 package tally
 
 // Tally counts the requests of one client account and service in one minute on
-// one host. Each request is in exactly one count, but Timely, which is a part
-// of Answered.
+// one host. Each request is counted in exactly one field, except that Timely is a
+// subset of Answered.
 type Tally struct {
-	// Minute is the minute, in minutes since 1970.
+	// Minute is the time in minutes since the Unix epoch.
 	Minute int64
-	// Account is the client account.
+	// Account is the name of the client account.
 	Account string
-	// Service is the service.
+	// Service is the name of the service.
 	Service string
-	// Answered are whole answers.
+	// Answered counts complete answers.
 	Answered uint64
-	// Timely are whole answers within the objective's latency.
+	// Timely counts complete answers within the latency objective.
 	Timely uint64
-	// Left are callers that went away.
+	// Left counts callers that disconnected.
 	Left uint64
-	// Failed are callers that waited and got no whole answer, whether or not a
-	// backend server ran the request.
+	// Failed counts callers that waited and got no complete answer, whether or
+	// not a backend server ran the request.
 	Failed uint64
-	// Inside are refusals "not run" of requests that were inside the
-	// account's rate: no slot came free, the store was down, the host left.
+	// Inside counts refusals of requests that were within the account's rate and
+	// were not run, because no slot became free, the store was unavailable or the
+	// host was shutting down.
 	Inside uint64
-	// OverRate are refusals for the account's rate; package replay tells which
-	// of them were wrongful.
+	// OverRate counts refusals due to the account's rate. Package replay determines
+	// which of them were wrongful.
 	OverRate uint64
-	// Mistaken are mistakes of the caller: no such path, a malformed request.
+	// Mistaken counts errors of the caller, such as an unknown path or a malformed
+	// request.
 	Mistaken uint64
 }
 
-// Add adds the counts of another tally.
+// Add adds the counts of o to t.
 func (t *Tally) Add(o Tally) {
 	t.Answered += o.Answered
 	t.Timely += o.Timely
