--- a/backendknobs/backendknobs.go
+++ b/backendknobs/backendknobs.go
@@ -1,32 +1,38 @@
-// Package backendknobs describes the faults that the backend stand-in plays.
+// Package backendknobs defines the faults that a backend stand-in can inject.
 package backendknobs
 
-// Backendknobs are set by tests and by hand while a stand-in runs.
+// Backendknobs are the injected faults. They can be changed while the stand-in
+// runs.
 type Backendknobs struct {
-	// Shed refuses every request unrun, as a full backend server does.
+	// Shed refuses every request without running it, like a backend server with
+	// no free slot.
 	Shed bool `json:",omitzero"`
-	// Drain refuses every request unrun and says so at /health.
+	// Drain refuses every request without running it, and reports the drain at
+	// /health.
 	Drain bool `json:",omitzero"`
 	// Cold makes every request take ten times as long.
 	Cold bool `json:",omitzero"`
-	// Silent takes connections and requests, runs nothing and never answers.
+	// Silent accepts connections and requests but neither runs nor answers
+	// them.
 	Silent bool `json:",omitzero"`
-	// Mute runs requests and never answers.
+	// Mute runs requests but never answers them.
 	Mute bool `json:",omitzero"`
-	// Close runs requests and closes the connection without an answer.
+	// Close runs requests and closes the connection without a response.
 	Close bool `json:",omitzero"`
-	// Cut runs requests and closes the connection in the middle of the answer.
+	// Cut runs requests and closes the connection in the middle of the
+	// response.
 	Cut bool `json:",omitzero"`
-	// WrongID runs requests and answers with another request's id.
+	// WrongID runs requests and sets the id of another request in the response.
 	WrongID bool `json:",omitzero"`
-	// Short runs requests and promises a longer answer than it sends.
+	// Short runs requests and sends less data than Content-Length announces.
 	Short bool `json:",omitzero"`
-	// Unsized runs requests and ends the answer with the connection.
+	// Unsized runs requests and marks the end of the response only by closing
+	// the connection.
 	Unsized bool `json:",omitzero"`
-	// Lie makes /health claim the opposite of the truth.
+	// Lie makes /health report the opposite of the actual state.
 	Lie bool `json:",omitzero"`
-	// First plays the faults for this many requests only; zero means all.
+	// First limits the faults to this number of requests; zero means no limit.
 	First int `json:",omitzero"`
-	// Bytes is the size of answers; zero means a line.
+	// Bytes is the size of response bodies; zero means a single line.
 	Bytes int `json:",omitzero"`
 }
--- a/backendstandin/backendstandin.go
+++ b/backendstandin/backendstandin.go
@@ -1,5 +1,5 @@
-// Package backendstandin stands in for a backend server. It is for the demo
-// and for tests, never for production.
+// Package backendstandin provides a substitute for a backend server, for the
+// demo and tests only.
 package backendstandin
 
 import (
@@ -24,59 +24,60 @@
 	"celeryreach.example/celeryreach/whole"
 )
 
-// JudgeHeader names one attempt of a caller's, so that the runs of repeated
-// attempts are told apart.
+// JudgeHeader identifies one attempt of a caller, so that the runs of repeated
+// attempts can be counted separately.
 const JudgeHeader = "X-Judge-Id"
 
 const (
-	coldFactor = 10
-	maxKnobs   = 64 << 10
+	coldFactor    = 10
+	maxKnobsBytes = 64 << 10
 )
 
-// Backendstandin runs requests on a fixed number of slots, sheds what exceeds
-// them, and records each run by the request's id. It is the judge of what ran.
+// Backendstandin runs requests on a fixed number of slots, rejects requests
+// above that number, and records each run by the request's id. Tests use these
+// records to check which requests ran.
 type Backendstandin struct {
-	// Clock paces the work.
+	// Clock is used for the duration of the work.
 	Clock clockwork.Clock
-	// Name is told in answers.
+	// Name is included in responses.
 	Name string
-	// Slots is how many requests run at once.
+	// Slots is how many requests run concurrently.
 	Slots int
 	// Work is how long a request runs on a warm backend server.
 	Work time.Duration
-	// ColdFor is how long after the first request it is cold; a cold request
-	// takes twice the time.
+	// ColdFor is how long the backend server stays cold after its first
+	// request. While it is cold, a request takes twice as long.
 	ColdFor time.Duration
 
-	busy  atomic.Int64
-	mu    sync.Mutex
-	knobs backendknobs.Backendknobs
-	first time.Time
-	runs  map[string]int
-	seen  []string
+	busy       atomic.Int64
+	mu         sync.Mutex
+	knobs      backendknobs.Backendknobs
+	firstRunAt time.Time
+	runs       map[string]int
+	received   []string
 }
 
-// Set changes the faults that are played.
+// Set changes the injected faults.
 func (b *Backendstandin) Set(k backendknobs.Backendknobs) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.knobs = k
 }
 
-// ServeHTTP runs one request.
+// ServeHTTP runs one request, or serves /knobs, /health or /runs.
 func (b *Backendstandin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/knobs":
-		b.knob(w, r)
+		b.setKnobs(w, r)
 		return
 	case "/health":
-		b.health(w)
+		b.writeHealth(w)
 		return
 	case "/runs":
-		b.tell(w)
+		b.writeRuns(w)
 		return
 	}
-	k := b.take()
+	k := b.takeKnobs()
 	w.Header().Set(upstream.IDHeader, r.Header.Get(upstream.IDHeader))
 	n := b.busy.Add(1)
 	defer b.busy.Add(-1)
@@ -94,30 +95,33 @@
 		return
 	}
 	if k.Silent {
-		// The body is read by now, so the server sees the client leave.
+		// The body has been read, so net/http detects a disconnect of the
+		// client and cancels the context.
 		<-r.Context().Done()
 		return
 	}
-	// A request counts as run from here on, whoever still waits for it.
-	b.record(r)
+	// From here on the request counts as run, even if its caller has
+	// disconnected.
+	b.recordRun(r)
 	select {
 	case <-r.Context().Done():
 		return
-	case <-b.Clock.After(b.work(k)):
+	case <-b.Clock.After(b.workDuration(k)):
 	}
-	b.answer(w, r, k, hex.EncodeToString(h.Sum(nil)))
+	b.writeResponse(w, r, k, hex.EncodeToString(h.Sum(nil)))
 }
 
-// tell writes the judge's counts, for tests with processes.
-func (b *Backendstandin) tell(w http.ResponseWriter) {
+// writeRuns writes the number of runs by id, for tests that run the backend
+// stand-in as a separate process.
+func (b *Backendstandin) writeRuns(w http.ResponseWriter) {
 	v, err := codec.Marshal(b.Runs())
 	if err != nil {
-		panic(err) // counts are JSON
+		panic(err) // a map of counts can always be marshaled
 	}
-	_, _ = w.Write(v) // a failed write means that the client left
+	_, _ = w.Write(v) // a failed write means that the client disconnected
 }
 
-// Busy returns how many requests run or are being refused now.
+// Busy returns how many requests are running or being refused.
 func (b *Backendstandin) Busy() int {
 	return int(b.busy.Load())
 }
@@ -129,22 +133,22 @@
 	return maps.Clone(b.runs)
 }
 
-// Seen returns every header value, target and method that was received, so
-// that a test can look for keys.
+// Seen returns the method, target and header values of the first 1000 recorded
+// requests, so that a test can check that no key was forwarded.
 func (b *Backendstandin) Seen() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]string(nil), b.seen...)
+	return append([]string(nil), b.received...)
 }
 
-// Body returns the answer to a request: it names the request, so that a caller
-// can tell whose answer it got and whether it is whole.
+// Body returns the response body for a request. It names the request, so that a
+// caller can check that the response belongs to the request and is complete.
 func Body(name, method, target, digest string, n int) string {
 	s := fmt.Sprintf("%s %s %s %s\n", name, method, target, digest)
 	return s + strings.Repeat("-", max(0, n-len(s)-1)) + "."
 }
 
-func (b *Backendstandin) answer(w http.ResponseWriter, r *http.Request, k backendknobs.Backendknobs, digest string) {
+func (b *Backendstandin) writeResponse(w http.ResponseWriter, r *http.Request, k backendknobs.Backendknobs, digest string) {
 	a := Body(b.Name, r.Method, r.URL.RequestURI(), digest, k.Bytes)
 	switch {
 	case k.Mute:
@@ -155,7 +159,7 @@
 	case k.WrongID:
 		w.Header().Set(upstream.IDHeader, "another")
 	case k.Unsized:
-		b.raw(w, a)
+		b.writeUnsized(w, a)
 		return
 	}
 	n := len(a)
@@ -163,15 +167,16 @@
 		a = a[:n/2]
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(n))
-	_, _ = io.WriteString(w, a) // a failed write means that the client left
+	_, _ = io.WriteString(w, a) // a failed write means that the client disconnected
 	if k.Cut {
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// raw answers without length or chunks.
-func (b *Backendstandin) raw(w http.ResponseWriter, a string) {
+// writeUnsized writes a response with neither a content length nor chunked
+// encoding.
+func (b *Backendstandin) writeUnsized(w http.ResponseWriter, a string) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
@@ -180,8 +185,8 @@
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n%s: %s\r\n\r\n%s", upstream.IDHeader, w.Header().Get(upstream.IDHeader), a)
 }
 
-func (b *Backendstandin) knob(w http.ResponseWriter, r *http.Request) {
-	a, err := io.ReadAll(io.LimitReader(r.Body, maxKnobs))
+func (b *Backendstandin) setKnobs(w http.ResponseWriter, r *http.Request) {
+	a, err := io.ReadAll(io.LimitReader(r.Body, maxKnobsBytes))
 	if err != nil {
 		return
 	}
@@ -193,7 +198,7 @@
 	b.Set(k)
 }
 
-func (b *Backendstandin) health(w http.ResponseWriter) {
+func (b *Backendstandin) writeHealth(w http.ResponseWriter) {
 	b.mu.Lock()
 	k := b.knobs
 	b.mu.Unlock()
@@ -207,8 +212,9 @@
 	fmt.Fprintf(w, "{\"Draining\":%t,\"Busy\":%d,\"Slots\":%d}\n", k.Drain != k.Lie, n, b.Slots)
 }
 
-// take returns the faults for one request.
-func (b *Backendstandin) take() backendknobs.Backendknobs {
+// takeKnobs returns the faults for one request and counts down the limited
+// number of faulty requests.
+func (b *Backendstandin) takeKnobs() backendknobs.Backendknobs {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.knobs
@@ -221,7 +227,7 @@
 	return k
 }
 
-func (b *Backendstandin) record(r *http.Request) {
+func (b *Backendstandin) recordRun(r *http.Request) {
 	k := r.Header.Get(JudgeHeader)
 	if k == "" {
 		k = r.Header.Get("Idempotency-Key")
@@ -233,24 +239,24 @@
 	defer b.mu.Unlock()
 	if b.runs == nil {
 		b.runs = make(map[string]int)
-		b.first = b.Clock.Now()
+		b.firstRunAt = b.Clock.Now()
 	}
 	b.runs[k]++
-	if len(b.seen) < 1000 {
-		b.seen = append(b.seen, r.Method+" "+r.URL.RequestURI())
+	if len(b.received) < 1000 {
+		b.received = append(b.received, r.Method+" "+r.URL.RequestURI())
 		for _, v := range r.Header {
-			b.seen = append(b.seen, v...)
+			b.received = append(b.received, v...)
 		}
 	}
 }
 
-func (b *Backendstandin) work(k backendknobs.Backendknobs) time.Duration {
+func (b *Backendstandin) workDuration(k backendknobs.Backendknobs) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if k.Cold {
 		return coldFactor * b.Work
 	}
-	if b.Clock.Since(b.first) < b.ColdFor {
+	if b.Clock.Since(b.firstRunAt) < b.ColdFor {
 		return 2 * b.Work
 	}
 	return b.Work
--- a/demo/config.go
+++ b/demo/config.go
@@ -42,7 +42,8 @@
 	{Service: "Rosters", Latency: 10 * time.Second, LatencyFraction: 0.95, WholeFraction: 0.99, WrongfulFraction: 0.01},
 }
 
-// newConfig returns the demo's configuration without what the fleet adds.
+// newConfig returns the demo's configuration. The fleet adds backend servers,
+// keys and an operator.
 func newConfig() config.Config {
 	return config.Config{
 		Preset: "Ordinary", Presets: presets(), Domains: domains, Services: services, Accounts: accounts, Objectives: objectives,
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -1,5 +1,6 @@
-// Package demo runs a whole small deployment in one process: a platform
-// stand-in, hosts in two regions, backend servers and callers that leave often.
+// Package demo runs a small complete deployment in one process: a platform
+// stand-in, hosts in two regions, backend servers, and callers that often
+// cancel their requests.
 package demo
 
 import (
@@ -21,17 +22,17 @@
 	backendCold = 2 * time.Second
 )
 
-// Demo is a deployment on loopback.
+// Demo is a demo deployment on loopback.
 type Demo struct {
-	// Clock is the clock of all parts.
+	// Clock is the clock of all components.
 	Clock clockwork.Clock
-	// Log receives the events of all parts.
+	// Log receives the log lines of all components.
 	Log *log.Logger
-	// Out receives what the demo tells its user.
+	// Out receives the usage instructions and the summary.
 	Out io.Writer
 }
 
-// Run works until ctx ends and prints a summary.
+// Run runs the deployment until ctx ends and then prints a summary.
 func (d *Demo) Run(ctx context.Context) error {
 	f := &fleet.Fleet{
 		Clock: d.Clock, Log: d.Log, Config: newConfig(), HostsPerDomain: 1, BackendsPerService: backendsPerService,
@@ -41,7 +42,7 @@
 	p := &sample.Sample{Clock: d.Clock, Counter: c, Seed: 1}
 	err := f.Start(ctx)
 	if err == nil {
-		d.greet(f)
+		d.printUsage(f)
 		p.LookupURL = "http://" + f.Settings(f.Hosts()[0]).CallerAddress + "/lookup"
 		p.Keys = f.Keys
 		err = p.Run(ctx)
@@ -50,15 +51,15 @@
 		err = e
 	}
 	if err == nil {
-		err = d.summary(p.Sent(), c.Totals())
+		err = d.printSummary(p.Sent(), c.Totals())
 	}
 	return err
 }
 
-func (d *Demo) greet(f *fleet.Fleet) {
+func (d *Demo) printUsage(f *fleet.Fleet) {
 	s := f.Settings(f.Hosts()[0])
 	a := accounts[0].Name
-	fmt.Fprintf(d.Out, `A deployment runs on loopback: %d hosts in %d regions. Ctrl-C ends it. Try, in another terminal:
+	fmt.Fprintf(d.Out, `A deployment runs on loopback: %d hosts in %d regions. Ctrl-C stops it. Try in another terminal:
 
   callers
     curl 'http://%s/lookup?account=%s&service=Listings&region=lagos'
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -15,9 +15,9 @@
 	"celeryreach.example/celeryreach/demo"
 )
 
-// The demo plays callers that leave while others are answered or refused. It
-// ends in the middle of all that; a request without an outcome or a goroutine
-// that goes on would be a leak that a host has too.
+// The demo ends while callers cancel requests, get responses and are refused. A
+// request without an outcome, or a goroutine that keeps running, would be a
+// leak that a host has too.
 func TestDemoEndsWithNothingLost(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	ctx, c := context.WithTimeout(context.Background(), 4*time.Second)
--- a/demo/summary.go
+++ b/demo/summary.go
@@ -11,9 +11,9 @@
 	"celeryreach.example/celeryreach/sample"
 )
 
-// summary prints how the requests ended. Every request that was sent must be
-// in exactly one line; one that is missing was lost.
-func (d *Demo) summary(sent uint64, totals map[string]uint64) error {
+// printSummary prints the number of requests by outcome. Every sent request
+// must be counted on exactly one line; the remainder is reported as lost.
+func (d *Demo) printSummary(sent uint64, totals map[string]uint64) error {
 	var answered, left, notRun, unknown uint64
 	n := make([]string, 0, len(totals))
 	for k, v := range totals {
@@ -35,7 +35,7 @@
 	l := sent - answered - left - notRun - unknown
 	fmt.Fprintln(d.Out, "summary:")
 	fmt.Fprintf(d.Out, "  sent               %d\n", sent)
-	fmt.Fprintf(d.Out, "  answered whole     %d\n", answered)
+	fmt.Fprintf(d.Out, "  answered in full   %d\n", answered)
 	fmt.Fprintf(d.Out, "  left               %d\n", left)
 	fmt.Fprintf(d.Out, "  refused (not run)  %d\n", notRun)
 	fmt.Fprintf(d.Out, "  unknown            %d\n", unknown)
--- a/fleet/conn.go
+++ b/fleet/conn.go
@@ -9,42 +9,42 @@
 
 const dialTimeout = time.Second
 
-// conn is a connection that can go silent: nothing arrives any more and
-// nothing that is written gets out, but neither end is told.
+// conn is a connection that can be blackholed: reads then return no more data
+// and written data is discarded, but neither end sees an error.
 type conn struct {
 	net.Conn
 
-	network *network
-	from    []string
-	to      []string
-	silent  atomic.Bool
-	closed  chan struct{}
-	once    sync.Once
+	network    *network
+	from       []string
+	to         []string
+	blackholed atomic.Bool
+	closed     chan struct{}
+	once       sync.Once
 }
 
-func (c *conn) hush() {
-	c.silent.Store(true)
+func (c *conn) blackhole() {
+	c.blackholed.Store(true)
 }
 
-// Read waits for ever on a silent connection, until it is closed.
+// Read blocks on a blackholed connection until the connection is closed.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if !c.silent.Load() {
+	if !c.blackholed.Load() {
 		return n, err
 	}
 	<-c.closed
 	return 0, net.ErrClosed
 }
 
-// Write takes everything and sends nothing on a silent connection.
+// Write accepts and discards all data on a blackholed connection.
 func (c *conn) Write(p []byte) (int, error) {
-	if c.silent.Load() {
+	if c.blackholed.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// Close ends the connection at both ends.
+// Close closes the connection for both ends.
 func (c *conn) Close() error {
 	var err error
 	c.once.Do(func() {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet runs a whole deployment in one process on loopback: the
-// platform stand-in, hosts, and backend stand-ins, with links that can be cut
-// and hosts that can be stopped. The demo and the scenarios of whole
-// deployments are built on it.
+// Package fleet runs a complete deployment on loopback in one process: the
+// platform stand-in, hosts and backend stand-ins. Network partitions can be
+// simulated and hosts can be stopped. The demo, the stress test and the
+// scenario tests use it.
 package fleet
 
 import (
@@ -23,66 +23,69 @@
 	"celeryreach.example/celeryreach/standin"
 )
 
-// PlatformPlace is the name of the platform's place for Cut.
+// PlatformPlace is the label of the platform in calls of Cut and Heal.
 const PlatformPlace = "platform"
 
 const (
 	platformTimeout = 2 * time.Second
 	startTimeout    = 20 * time.Second
-	pollEvery       = 10 * time.Millisecond
+	pollInterval    = 10 * time.Millisecond
 	drainTimeout    = 5 * time.Second
 )
 
 // Fleet is a deployment on loopback. The exported fields are set before Start,
-// but for Platform, Keys and Operator, which Start sets.
+// except Platform, PlatformURL, Keys and Operator, which Start sets.
 type Fleet struct {
-	// Clock is the clock of all parts. Sockets are real, so it has to run.
+	// Clock is the clock of all components. It must advance in real time
+	// because the components communicate through real sockets.
 	Clock clockwork.Clock
-	// Log receives the events of all parts.
+	// Log receives the log lines of all components.
 	Log *log.Logger
 	// Config is the first configuration. Start adds backend servers, keys and
-	// an operator.
+	// an operator to it.
 	Config config.Config
-	// Unconfigured leaves the platform without a configuration.
+	// Unconfigured starts the deployment without a configuration in the
+	// platform.
 	Unconfigured bool
 	// HostsPerDomain is the number of hosts in each failure domain.
 	HostsPerDomain int
 	// BackendsPerService is the number of backend servers of each service in
 	// each failure domain.
 	BackendsPerService int
-	// Slots is how many requests a backend server runs at once.
+	// Slots is how many requests a backend server runs concurrently.
 	Slots int
 	// Work is how long a request takes on a warm backend server.
 	Work time.Duration
-	// Cold is how long after its first request a backend server is cold.
+	// Cold is how long a backend server stays cold after its first request.
 	Cold time.Duration
-	// Adjust changes the settings of a host before it starts; it may be nil.
+	// Adjust changes the settings of a host before it starts. It may be nil.
 	Adjust func(s *settings.Settings)
 
-	// Roots are the certificate authorities that Status and Send trust, when
-	// Adjust makes hosts use TLS.
+	// Roots are the certificate authorities that Status and Send trust if
+	// Adjust configures TLS on the hosts.
 	Roots *x509.CertPool
 
 	// Platform is the platform stand-in.
 	Platform *standin.Standin
 	// PlatformURL is the base URL of the platform stand-in.
 	PlatformURL string
-	// Keys holds a key of each client account.
+	// Keys holds one key for each client account, by account name.
 	Keys map[string]string
 	// Operator is an operator's key.
 	Operator string
 
-	network  network
-	platform *platformclient.Platformclient
-	hosts    []*site
-	reserved []*reservation.Reservation // the ports of the hosts
-	backends []*server
-	parts    []*part
+	network       network
+	platform      *platformclient.Platformclient
+	hosts         []*managedHost
+	reservedPorts []*reservation.Reservation // hold the ports of all hosts
+	backends      []*backendServer
+	tasks         []*task
 }
 
-// Start starts all parts and returns when every host has the configuration and
-// hears every other host. What was started runs until Stop, also after an
-// error.
+// Start starts all components and returns when every host has the configuration
+// and receives heartbeats from every other host. Components run until Stop,
+// even if Start returns an error. If Unconfigured is set, Start returns as soon
+// as the hosts are started.
 func (f *Fleet) Start(ctx context.Context) error {
 	x, c := context.WithTimeout(ctx, startTimeout)
 	defer c()
@@ -92,7 +95,7 @@
 	if err := f.startBackends(x); err != nil {
 		return err
 	}
-	f.credentials()
+	f.addCredentials()
 	for _, d := range f.Config.Domains {
 		for i := range f.HostsPerDomain {
 			if err := f.addHost(x, d.Name, i); err != nil {
@@ -101,7 +104,7 @@
 		}
 	}
 	if !f.Unconfigured {
-		if err := f.accept(x); err != nil {
+		if err := f.commitConfig(x); err != nil {
 			return err
 		}
 	}
@@ -114,48 +117,49 @@
 	return f.Ready(x)
 }
 
-// Stop ends all parts, the hosts first, and returns when they have ended.
+// Stop stops all components, the hosts first, and waits until they have ended.
 func (f *Fleet) Stop() error {
 	var r error
 	for _, h := range f.hosts {
-		h.part.cancel()
+		h.task.cancel()
 	}
 	for _, h := range f.hosts {
-		r = first(r, h.part.wait())
+		r = firstError(r, h.task.wait())
 	}
-	for i := len(f.parts) - 1; i >= 0; i-- {
-		f.parts[i].cancel()
-		r = first(r, f.parts[i].wait())
+	for i := len(f.tasks) - 1; i >= 0; i-- {
+		f.tasks[i].cancel()
+		r = firstError(r, f.tasks[i].wait())
 	}
 	f.platform.Close()
 	f.network.close()
-	for _, v := range f.reserved {
+	for _, v := range f.reservedPorts {
 		v.Release()
 	}
 	return r
 }
 
-// Await polls until the condition holds or ctx ends. Sockets give no event to
-// wait for, and a fixed sleep would be too short on a busy machine.
+// Await polls until the condition holds or ctx ends. It polls because sockets
+// emit no event for such conditions and a fixed sleep would be too short on a
+// busy machine.
 func (f *Fleet) Await(ctx context.Context, what string, condition func() bool) error {
 	for !condition() {
 		select {
 		case <-ctx.Done():
 			return errors.Wrapf(ctx.Err(), "waiting for %s", what)
-		case <-f.Clock.After(pollEvery):
+		case <-f.Clock.After(pollInterval):
 		}
 	}
 	return nil
 }
 
-// Ready waits until every running host serves callers and hears that every
-// other running host does.
+// Ready waits until every running host has a configuration, serves callers and
+// lists every other running host as a serving peer.
 func (f *Fleet) Ready(ctx context.Context) error {
-	return f.Await(ctx, "all hosts to hear each other", func() bool {
+	return f.Await(ctx, "all hosts to see each other as serving peers", func() bool {
 		n := f.Running()
 		for _, h := range n {
 			s, err := f.Status(ctx, h)
-			if err != nil || s.ConfigVersion == 0 || s.Host.Starting || serving(s.Peers) != len(n)-1 {
+			if err != nil || s.ConfigVersion == 0 || s.Host.Starting || countServing(s.Peers) != len(n)-1 {
 				return false
 			}
 		}
@@ -163,19 +167,22 @@
 	})
 }
 
-// Cut separates two places: a host, a failure domain, a region, the platform,
-// or "*" for all. Open connections go silent for good, and new ones fail until
-// Heal.
+// Cut simulates a network partition between two labels, each the name of a
+// host, a failure domain, a region or the platform, or "*" for everything. Open
+// connections between them are blackholed permanently, and new ones time out
+// until Heal is called.
 func (f *Fleet) Cut(a, b string) {
-	f.network.cut(a, b)
+	f.network.partition(a, b)
 }
 
-// Heal ends the cut of the same two places. New connections work again.
+// Heal ends the partition between two labels, in either order. New connections
+// work again; blackholed connections do not recover.
 func (f *Fleet) Heal(a, b string) {
 	f.network.heal(a, b)
 }
 
-// Runs returns how often each id was run, over all backend servers.
+// Runs returns how often each request id was run, summed over all backend
+// servers.
 func (f *Fleet) Runs() map[string]int {
 	r := make(map[string]int)
 	for _, b := range f.backends {
@@ -186,7 +193,8 @@
 	return r
 }
 
-// Backend returns a backend stand-in by name, nil if there is none.
+// Backend returns the backend stand-in with the given name, or nil if there is
+// none.
 func (f *Fleet) Backend(name string) *backendstandin.Backendstandin {
 	for _, b := range f.backends {
 		if b.handler.Name == name {
@@ -196,8 +204,8 @@
 	return nil
 }
 
-// accept makes the configuration the accepted one.
-func (f *Fleet) accept(ctx context.Context) error {
+// commitConfig writes the configuration to the platform as its first version.
+func (f *Fleet) commitConfig(ctx context.Context) error {
 	c := &change.Change{Platform: f.platform.Platform()}
 	_, ok, err := c.Commit(ctx, 0, f.Config)
 	if err != nil {
@@ -209,7 +217,7 @@
 	return nil
 }
 
-func serving(m []member.Member) int {
+func countServing(m []member.Member) int {
 	n := 0
 	for _, v := range m {
 		if !v.Starting {
@@ -219,7 +227,7 @@
 	return n
 }
 
-func first(a, b error) error {
+func firstError(a, b error) error {
 	if a != nil {
 		return a
 	}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -31,7 +31,8 @@
 
 func newFleet(t *testing.T, set ...func(f *fleet.Fleet)) (context.Context, *fleet.Fleet) {
 	t.Helper()
-	// The leak check is registered first, so it runs after Stop.
+	// goleak is registered first because cleanups run in reverse order: it has
+	// to run after Stop.
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	ctx, c := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(c)
@@ -55,48 +56,48 @@
 	return ctx, f
 }
 
-func answered(ctx context.Context, f *fleet.Fleet, host string) func() bool {
+func requestSucceeds(ctx context.Context, f *fleet.Fleet, host string) func() bool {
 	return func() bool {
 		c, _, err := f.Send(ctx, host, "acme", http.MethodGet, "/pages/1", "")
 		return err == nil && c == http.StatusOK
 	}
 }
 
-// A caller of either domain gets its answer while the two domains cannot hear
-// each other: both hosts drop the other from their peers, keep serving, and
-// after the cut they find each other on new connections, since the old ones
-// stay silent for good.
-func TestCutAndHeal(t *testing.T) {
+// While two failure domains are partitioned, each host removes the other from
+// its peers and continues to answer its callers. After the partition they must
+// reconnect through new connections, because the old ones stay blackholed.
+func TestPartitionAndHeal(t *testing.T) {
 	ctx, f := newFleet(t)
-	must.NoError(t, f.Await(ctx, "an answer", answered(ctx, f, "n1-a")))
+	must.NoError(t, f.Await(ctx, "an answer", requestSucceeds(ctx, f, "n1-a")))
 	f.Cut("n1", "s1")
-	must.NoError(t, f.Await(ctx, "silence", func() bool {
+	must.NoError(t, f.Await(ctx, "the host to drop its peer", func() bool {
 		s, err := f.Status(ctx, "n1-a")
 		return err == nil && len(s.Peers) == 0
 	}))
-	must.NoError(t, f.Await(ctx, "an answer in the cut", answered(ctx, f, "s1-a")))
+	must.NoError(t, f.Await(ctx, "an answer during the partition", requestSucceeds(ctx, f, "s1-a")))
 	f.Heal("n1", "s1")
 	must.NoError(t, f.Ready(ctx))
 }
 
-// A host dies without a word and a replacement takes its name and addresses:
-// callers of the other host are answered all the while, and the replacement
-// has the configuration and its peer before it counts as ready.
+// A host crashes and a replacement takes over its name and addresses. Callers
+// of the other host are answered throughout, and the replacement counts as
+// ready only when it has the configuration and its peer.
 func TestKillAndReplace(t *testing.T) {
 	ctx, f := newFleet(t)
 	f.KillHost("n1-a")
 	must.Eq(t, []string{"s1-a"}, f.Running())
-	must.NoError(t, f.Await(ctx, "an answer elsewhere", answered(ctx, f, "s1-a")))
+	must.NoError(t, f.Await(ctx, "an answer from the other host", requestSucceeds(ctx, f, "s1-a")))
 	_, _, err := f.Send(ctx, "n1-a", "acme", http.MethodGet, "/pages/1", "")
 	must.Error(t, err)
 	f.StartHost("n1-a")
 	must.NoError(t, f.Ready(ctx))
-	must.NoError(t, f.Await(ctx, "an answer of the replacement", answered(ctx, f, "n1-a")))
+	must.NoError(t, f.Await(ctx, "an answer from the replacement", requestSucceeds(ctx, f, "n1-a")))
 }
 
-// All three addresses use TLS. Callers and operators are served, the hosts hear
-// each other, and a stranger who says in plain text or with a certificate of
-// its own that it is a host gets no answer and appears in nobody's peers.
+// All three addresses use TLS. Callers and operators are served and the hosts
+// receive each other's heartbeats. A client that claims to be a host, over
+// plain text or with a certificate of another authority, gets no response and
+// is not added to the peers.
 func TestTLS(t *testing.T) {
 	a, err := testcerts.New()
 	must.NoError(t, err)
@@ -110,7 +111,7 @@
 			s.CallerTLS, s.OperatorTLS, s.PeerTLS = &own, &own, &c
 		}
 	})
-	must.NoError(t, f.Await(ctx, "an answer", answered(ctx, f, "n1-a")))
+	must.NoError(t, f.Await(ctx, "an answer", requestSucceeds(ctx, f, "n1-a")))
 	b, err := testcerts.New()
 	must.NoError(t, err)
 	d, err := b.Write(t.TempDir())
@@ -138,9 +139,9 @@
 	must.Eq(t, "s1-a", s.Peers[0].Name)
 }
 
-// A host is stopped, and another program on the machine opens a connection from the
-// port on which the host's callers are served. The port is kept for the host: else
-// it could not start again, and its script would wait for it in vain.
+// The port of a stopped host stays reserved. Otherwise another program on the
+// machine could use it as the local port of an outgoing connection, and the
+// host could not start again.
 func TestPortsOfStoppedHostsAreKept(t *testing.T) {
 	ctx, f := newFleet(t)
 	a, err := net.ResolveTCPAddr("tcp", f.Settings("n1-a").CallerAddress)
--- a/fleet/hosts.go
+++ b/fleet/hosts.go
@@ -15,7 +15,7 @@
 	"celeryreach.example/celeryreach/status"
 )
 
-// Hosts returns the names of all hosts, in the order of the failure domains.
+// Hosts returns the names of all hosts, in the order of their failure domains.
 func (f *Fleet) Hosts() []string {
 	r := make([]string, 0, len(f.hosts))
 	for _, h := range f.hosts {
@@ -24,7 +24,7 @@
 	return r
 }
 
-// Running returns the names of the hosts that run.
+// Running returns the names of the running hosts.
 func (f *Fleet) Running() []string {
 	var r []string
 	for _, h := range f.hosts {
@@ -37,56 +37,57 @@
 
 // Settings returns the settings of a host.
 func (f *Fleet) Settings(name string) settings.Settings {
-	return f.site(name).settings
+	return f.hostByName(name).settings
 }
 
-// Totals returns how the requests of a host ended.
+// Totals returns the number of requests of a host by outcome.
 func (f *Fleet) Totals(name string) map[string]uint64 {
-	return f.site(name).counter.Totals()
+	return f.hostByName(name).counter.Totals()
 }
 
-// StopHost shuts a host down gracefully and returns when it has ended.
+// StopHost shuts a host down gracefully and waits until it has ended.
 func (f *Fleet) StopHost(name string) error {
-	h := f.site(name)
-	h.part.cancel()
-	err := h.part.wait()
-	f.gone(h)
+	h := f.hostByName(name)
+	h.task.cancel()
+	err := h.task.wait()
+	f.closeHost(h)
 	return err
 }
 
-// KillHost ends a host as a crash does: every connection breaks, and nobody
-// hears anything of it any more.
+// KillHost ends a host like a crash: all its connections break, and nothing
+// that it sends while it ends reaches other hosts or the platform.
 func (f *Fleet) KillHost(name string) {
-	h := f.site(name)
-	f.network.cut(name, anywhere)
+	h := f.hostByName(name)
+	f.network.partition(name, anyLabel)
 	for _, l := range h.listeners {
-		l.kill()
+		l.closeAll()
 	}
-	h.part.cancel()
-	// A crash reports nothing; the end of the goroutine is all that counts.
-	_ = h.part.wait()
-	f.gone(h)
-	f.network.heal(name, anywhere)
+	h.task.cancel()
+	// A crashed process returns no error, so the error is ignored.
+	_ = h.task.wait()
+	f.closeHost(h)
+	f.network.heal(name, anyLabel)
 }
 
-// StartHost starts a replacement for a host that was stopped or killed, under
-// the same name and addresses and with a new incarnation.
+// StartHost starts a replacement for a stopped or killed host, with the same
+// name and addresses and a new incarnation.
 func (f *Fleet) StartHost(name string) {
-	f.startHost(f.site(name))
+	f.startHost(f.hostByName(name))
 }
 
-// StopBackend ends a backend stand-in; requests to it are refused.
+// StopBackend stops a backend stand-in. Connections to it are refused
+// afterwards.
 func (f *Fleet) StopBackend(name string) error {
 	for _, b := range f.backends {
 		if b.handler.Name == name {
-			b.part.cancel()
-			return b.part.wait()
+			b.task.cancel()
+			return b.task.wait()
 		}
 	}
 	return errors.Errorf("no backend server %s", name)
 }
 
-// Status asks a host for its state.
+// Status requests the status of a host from its operator address.
 func (f *Fleet) Status(ctx context.Context, name string) (status.Status, error) {
 	var s status.Status
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, scheme(f.Settings(name).OperatorTLS)+f.Settings(name).OperatorAddress+"/status", nil)
@@ -104,13 +105,14 @@
 	return s, codec.Unmarshal(b, &s)
 }
 
-// Send sends one caller's request to a host, with the account's key, and
-// returns the answer's status and body. A request with an id carries a body.
+// Send sends a caller's request to a host with the account's key and returns
+// the status code and body of the response. The id, if any, is sent as the
+// idempotency key and in the request body.
 func (f *Fleet) Send(ctx context.Context, host, account, method, path, id string) (code int, answer string, err error) {
 	return f.SendKey(ctx, host, f.Keys[account], method, path, id)
 }
 
-// SendKey is Send with any key.
+// SendKey is like Send but takes the key instead of the account.
 func (f *Fleet) SendKey(ctx context.Context, host, key, method, path, id string) (c int, answer string, err error) {
 	var b io.Reader
 	if id != "" {
@@ -128,8 +130,8 @@
 	return c, string(a), err
 }
 
-// do uses a connection of its own, so that a request never meets a connection
-// that an earlier host of the same address left behind.
+// do opens a new connection for each request, so that no request uses a
+// connection that a previous process on the same address left open.
 func (f *Fleet) do(q *http.Request) (code int, body []byte, err error) {
 	t := &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{RootCAs: f.Roots, MinVersion: tls.VersionTLS13}}
 	r, err := t.RoundTrip(q)
@@ -148,16 +150,17 @@
 	return "https://"
 }
 
-func (f *Fleet) gone(h *site) {
+func (f *Fleet) closeHost(h *managedHost) {
 	h.running = false
 	for _, l := range h.listeners {
-		l.kill()
+		l.closeAll()
 	}
 	clear(h.listeners)
 }
 
-// site panics on an unknown name: it is a mistake of the scenario.
-func (f *Fleet) site(name string) *site {
+// hostByName panics on an unknown name because that is an error in the
+// scenario.
+func (f *Fleet) hostByName(name string) *managedHost {
 	for _, h := range f.hosts {
 		if h.settings.Name == name {
 			return h
--- a/fleet/listener.go
+++ b/fleet/listener.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// listener remembers its connections, so that a killed host's callers see them
-// break.
+// listener tracks its accepted connections, so that killing a host breaks the
+// connections of its callers.
 type listener struct {
 	net.Listener
 
@@ -15,7 +15,7 @@
 	conns []net.Conn
 }
 
-// Accept returns the next connection.
+// Accept accepts the next connection and tracks it.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
@@ -26,7 +26,7 @@
 	return c, err
 }
 
-func (l *listener) kill() {
+func (l *listener) closeAll() {
 	_ = l.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -35,9 +35,10 @@
 	}
 }
 
-// listen hands out the listener that was bound when the port was drawn. A
-// replacement binds the same port again, which the reservation has kept for it.
-func (h *site) listen(ctx context.Context, address string) (net.Listener, error) {
+// listen returns the listener that addHost has already opened on the address.
+// After a restart it binds the same port again, which is still reserved for
+// this host.
+func (h *managedHost) listen(ctx context.Context, address string) (net.Listener, error) {
 	if l := h.listeners[address]; l != nil {
 		return l, nil
 	}
--- a/fleet/network.go
+++ b/fleet/network.go
@@ -10,36 +10,38 @@
 	"github.com/pkg/errors"
 )
 
-const anywhere = "*"
+const anyLabel = "*"
 
-// network carries the connections between hosts and to the platform.
+// network tracks the connections that hosts open to peers and to the platform,
+// and simulates partitions between them.
 type network struct {
-	mu     sync.Mutex
-	cuts   map[[2]string]bool
-	places map[string][]string
-	conns  map[*conn]bool
+	mu              sync.Mutex
+	partitions      map[[2]string]bool
+	labelsByAddress map[string][]string
+	conns           map[*conn]bool
 }
 
-// place names the places of an address: its host, failure domain and region.
-func (n *network) place(address string, labels []string) {
+// setLabels records the labels of an address: the names of its host, failure
+// domain and region, or that of the platform.
+func (n *network) setLabels(address string, labels []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.places == nil {
-		n.places = make(map[string][]string)
+	if n.labelsByAddress == nil {
+		n.labelsByAddress = make(map[string][]string)
 	}
-	n.places[address] = labels
+	n.labelsByAddress[address] = labels
 }
 
-func (n *network) cut(a, b string) {
+func (n *network) partition(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cuts == nil {
-		n.cuts = make(map[[2]string]bool)
+	if n.partitions == nil {
+		n.partitions = make(map[[2]string]bool)
 	}
-	n.cuts[[2]string{a, b}] = true
+	n.partitions[[2]string{a, b}] = true
 	for c := range n.conns {
-		if n.separated(c.from, c.to) {
-			c.hush()
+		if n.isPartitioned(c.from, c.to) {
+			c.blackhole()
 		}
 	}
 }
@@ -47,11 +49,11 @@
 func (n *network) heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.cuts, [2]string{a, b})
-	delete(n.cuts, [2]string{b, a})
+	delete(n.partitions, [2]string{a, b})
+	delete(n.partitions, [2]string{b, a})
 }
 
-// close ends what is still open.
+// close closes all open connections.
 func (n *network) close() {
 	n.mu.Lock()
 	s := make([]*conn, 0, len(n.conns))
@@ -64,20 +66,20 @@
 	}
 }
 
-// dialer returns the dial function of a host. A dial across a cut gets no
-// answer until its context or the timeout ends, as with lost packets.
+// dialer returns the dial function of a host. A dial across a partition blocks
+// until ctx ends or the dial times out, as with lost packets.
 func (n *network) dialer(from []string, clock clockwork.Clock) func(ctx context.Context, address string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		n.mu.Lock()
-		o := n.places[address]
-		s := n.separated(from, o)
+		o := n.labelsByAddress[address]
+		s := n.isPartitioned(from, o)
 		n.mu.Unlock()
 		if s {
 			select {
 			case <-ctx.Done():
 			case <-clock.After(dialTimeout):
 			}
-			return nil, errors.Errorf("dial %s: no answer", address)
+			return nil, errors.Errorf("dial %s: timed out in a simulated network partition", address)
 		}
 		d := net.Dialer{Timeout: dialTimeout}
 		t, err := d.DialContext(ctx, "tcp", address)
@@ -95,8 +97,8 @@
 		n.conns = make(map[*conn]bool)
 	}
 	n.conns[c] = true
-	if n.separated(c.from, c.to) {
-		c.hush()
+	if n.isPartitioned(c.from, c.to) {
+		c.blackhole()
 	}
 	return c
 }
@@ -107,15 +109,15 @@
 	delete(n.conns, c)
 }
 
-func (n *network) separated(from, to []string) bool {
-	for c := range n.cuts {
-		if within(from, c[0]) && within(to, c[1]) || within(from, c[1]) && within(to, c[0]) {
+func (n *network) isPartitioned(from, to []string) bool {
+	for c := range n.partitions {
+		if hasLabel(from, c[0]) && hasLabel(to, c[1]) || hasLabel(from, c[1]) && hasLabel(to, c[0]) {
 			return true
 		}
 	}
 	return false
 }
 
-func within(labels []string, place string) bool {
-	return place == anywhere || slices.Contains(labels, place)
+func hasLabel(labels []string, label string) bool {
+	return label == anyLabel || slices.Contains(labels, label)
 }
--- a/fleet/parts.go
+++ b/fleet/parts.go
@@ -23,16 +23,17 @@
 	"celeryreach.example/celeryreach/table"
 )
 
-// part is one running part; its goroutine reports its end on done.
-type part struct {
+// task is a component that runs in its own goroutine, which closes done when
+// the component has ended.
+type task struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 	err    error
 }
 
-func start(run func(ctx context.Context) error) *part {
+func startTask(run func(ctx context.Context) error) *task {
 	x, c := context.WithCancel(context.Background())
-	p := &part{cancel: c, done: make(chan struct{})}
+	p := &task{cancel: c, done: make(chan struct{})}
 	go func() {
 		defer close(p.done)
 		p.err = run(x)
@@ -40,27 +41,28 @@
 	return p
 }
 
-func (p *part) wait() error {
+func (p *task) wait() error {
 	<-p.done
 	return p.err
 }
 
-// server is one backend stand-in.
-type server struct {
+// backendServer is a backend stand-in and the task that serves it.
+type backendServer struct {
 	handler *backendstandin.Backendstandin
-	part    *part
+	task    *task
 }
 
-// site is the place of one host, which survives the host's restarts.
-type site struct {
+// managedHost is the state of one host that is kept across restarts of the
+// host.
+type managedHost struct {
 	settings  settings.Settings
 	listeners map[string]*listener
 	counter   *counter.Counter
-	part      *part
+	task      *task
 	running   bool
 }
 
-func (h *site) labels() []string {
+func (h *managedHost) labels() []string {
 	return []string{h.settings.Name, h.settings.Domain, h.settings.Region}
 }
 
@@ -69,7 +71,7 @@
 	if err != nil {
 		return errors.Wrap(err, "platform stand-in")
 	}
-	f.network.place(l.Addr().String(), []string{PlatformPlace})
+	f.network.setLabels(l.Addr().String(), []string{PlatformPlace})
 	f.Platform = &standin.Standin{Clock: f.Clock, Table: new(table.Table)}
 	f.PlatformURL = "http://" + l.Addr().String()
 	f.platform = &platformclient.Platformclient{URL: f.PlatformURL, Timeout: platformTimeout}
@@ -91,7 +93,7 @@
 				}
 				f.Config.Backends = append(f.Config.Backends, b)
 				h := &backendstandin.Backendstandin{Clock: f.Clock, Name: b.Name, Slots: b.Slots, Work: f.Work, ColdFor: f.Cold}
-				f.backends = append(f.backends, &server{handler: h, part: f.serve(l, h)})
+				f.backends = append(f.backends, &backendServer{handler: h, task: f.serve(l, h)})
 			}
 		}
 	}
@@ -100,15 +102,16 @@
 
 const connectionsPerBackend = 400
 
-func (f *Fleet) serve(l net.Listener, h http.Handler) *part {
+func (f *Fleet) serve(l net.Listener, h http.Handler) *task {
 	s := &httplisten.Httplisten{Listener: l, Handler: h, DrainTimeout: drainTimeout}
-	p := start(s.Run)
-	f.parts = append(f.parts, p)
+	p := startTask(s.Run)
+	f.tasks = append(f.tasks, p)
 	return p
 }
 
-// credentials adds a key for each client account and one operator.
-func (f *Fleet) credentials() {
+// addCredentials adds a key for each client account and one operator key to the
+// configuration.
+func (f *Fleet) addCredentials() {
 	f.Keys = make(map[string]string)
 	f.Operator = rand.Text()
 	f.Config.Operators = append(f.Config.Operators, credential.Credential{ID: "fleet-operator", Hash: credential.Hash(f.Operator)})
@@ -130,13 +133,13 @@
 	}
 	s.PlatformURL = f.PlatformURL
 	s.DrainTimeout = drainTimeout
-	h := &site{listeners: make(map[string]*listener), counter: &counter.Counter{Prefix: "Requests." + s.Name + "."}}
+	h := &managedHost{listeners: make(map[string]*listener), counter: &counter.Counter{Prefix: "Requests." + s.Name + "."}}
 	for _, a := range []*string{&s.CallerAddress, &s.PeerAddress, &s.OperatorAddress} {
 		r, err := reservation.New()
 		if err != nil {
 			return errors.Wrap(err, "free port")
 		}
-		f.reserved = append(f.reserved, r)
+		f.reservedPorts = append(f.reservedPorts, r)
 		*a = r.Address
 		l, err := bind(ctx, *a)
 		if err != nil {
@@ -148,12 +151,12 @@
 		f.Adjust(&s)
 	}
 	h.settings = s
-	f.network.place(s.PeerAddress, h.labels())
+	f.network.setLabels(s.PeerAddress, h.labels())
 	f.hosts = append(f.hosts, h)
 	return nil
 }
 
-func (f *Fleet) startHost(h *site) {
+func (f *Fleet) startHost(h *managedHost) {
 	d := f.network.dialer(h.labels(), f.Clock)
 	p := &platformclient.Platformclient{URL: f.PlatformURL, Timeout: platformTimeout, Dial: d}
 	x := &host.Host{
@@ -161,7 +164,7 @@
 		Incarnation: mathrand.Uint64(), Dial: d, Listen: h.listen, Counter: h.counter,
 	}
 	h.running = true
-	h.part = start(func(ctx context.Context) error {
+	h.task = startTask(func(ctx context.Context) error {
 		defer p.Close()
 		return x.Run(ctx)
 	})
--- a/golden/golden.go
+++ b/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden plays the sessions of a package's testdata: each file is an
-// archive whose last part is what the parts before it must give.
+// Package golden runs golden-file tests: the last file of each txtar archive in
+// testdata holds the expected output for the files before it.
 package golden
 
 import (
@@ -11,8 +11,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Play compares the result of each session with its last part. With UPDATE set
-// in the environment it writes the result there instead.
+// Play calls play with the input files of each archive and compares the result
+// with the expected output. With UPDATE set in the environment it rewrites the
+// expected output instead.
 func Play(t *testing.T, play func(t *testing.T, parts [][]byte) string) {
 	t.Helper()
 	f, err := filepath.Glob("testdata/*.txtar")
--- a/sample/sample.go
+++ b/sample/sample.go
@@ -1,5 +1,5 @@
-// Package sample plays callers for the demo: they look up entry hosts, send
-// requests and often leave before the answer.
+// Package sample simulates callers for the demo: they look up entry hosts, send
+// requests and often cancel them before the response.
 package sample
 
 import (
@@ -22,44 +22,46 @@
 
 const (
 	callersPerAccount = 4
-	leaveFraction     = 0.6
+	cancelFraction    = 0.6
 	enrolFraction     = 0.1
-	leaveWithin       = 30 * time.Millisecond
-	pause             = 50 * time.Millisecond
+	maxCancelDelay    = 30 * time.Millisecond
+	meanPause         = 50 * time.Millisecond
 )
 
-// NotRun is put before the outcomes that promise that the request did not run.
+// NotRun is the prefix of outcomes for which the host guarantees that the
+// request did not run.
 const NotRun = "NotRun."
 
-// Sample is a group of callers.
+// Sample simulates a group of callers.
 type Sample struct {
-	// Clock paces the callers.
+	// Clock is used for the pauses between requests.
 	Clock clockwork.Clock
-	// LookupURL is the look-up of one host.
+	// LookupURL is the look-up URL of one host.
 	LookupURL string
 	// Keys are the callers' keys by client account.
 	Keys map[string]string
-	// Counter counts how the requests ended.
+	// Counter counts the requests by outcome.
 	Counter *counter.Counter
-	// Seed makes the callers' choices repeatable.
+	// Seed seeds the callers' random choices.
 	Seed uint64
 
 	sent atomic.Uint64
 }
 
-// Sent returns how many requests were begun.
+// Sent returns the number of requests started.
 func (s *Sample) Sent() uint64 {
 	return s.sent.Load()
 }
 
-// Run plays the callers until ctx ends. Each request that was begun is ended.
+// Run simulates the callers until ctx ends. Requests already started are
+// completed first.
 func (s *Sample) Run(ctx context.Context) error {
 	d := make(chan struct{})
 	n := 0
 	for a, k := range s.Keys {
 		for range callersPerAccount {
 			r := mathrand.New(mathrand.NewPCG(s.Seed, uint64(n)))
-			go s.caller(ctx, a, k, r, d)
+			go s.runCaller(ctx, a, k, r, d)
 			n++
 		}
 	}
@@ -69,44 +71,45 @@
 	return nil
 }
 
-func (s *Sample) caller(ctx context.Context, account, key string, r *mathrand.Rand, done chan<- struct{}) {
+func (s *Sample) runCaller(ctx context.Context, account, key string, r *mathrand.Rand, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	t := new(http.Transport)
 	defer t.CloseIdleConnections()
 	c := &http.Client{Transport: t}
 	for ctx.Err() == nil {
 		s.sent.Add(1)
-		// The request outlives ctx: the demo ends with no request cut.
-		s.Counter.Add(s.one(context.WithoutCancel(ctx), c, account, key, r))
+		// The request ignores the end of ctx, so that the demo does not
+		// interrupt any request when it ends.
+		s.Counter.Add(s.sendOne(context.WithoutCancel(ctx), c, account, key, r))
 		select {
 		case <-ctx.Done():
-		case <-s.Clock.After(time.Duration(r.Int64N(int64(2 * pause)))):
+		case <-s.Clock.After(time.Duration(r.Int64N(int64(2 * meanPause)))):
 		}
 	}
 }
 
-func (s *Sample) one(ctx context.Context, c *http.Client, account, key string, r *mathrand.Rand) string {
+func (s *Sample) sendOne(ctx context.Context, c *http.Client, account, key string, r *mathrand.Rand) string {
 	h, ok := s.lookup(ctx, c, account)
 	if !ok {
 		return "LookupFailed"
 	}
-	if r.Float64() < leaveFraction {
-		x, f := context.WithTimeout(ctx, time.Duration(r.Int64N(int64(leaveWithin))))
+	if r.Float64() < cancelFraction {
+		x, f := context.WithTimeout(ctx, time.Duration(r.Int64N(int64(maxCancelDelay))))
 		defer f()
 		ctx = x
 	}
-	q, err := s.request(ctx, h, key, r)
+	q, err := s.newRequest(ctx, h, key, r)
 	if err != nil {
 		return "BadRequest"
 	}
 	p, err := c.Do(q)
 	if err != nil {
-		return end(ctx)
+		return transportFailure(ctx)
 	}
 	defer p.Body.Close()
 	b, err := io.ReadAll(p.Body)
 	if err != nil {
-		return end(ctx)
+		return transportFailure(ctx)
 	}
 	if p.StatusCode == http.StatusOK {
 		return outcome.Answered
@@ -142,7 +145,7 @@
 	return a.EntryHosts[0], true
 }
 
-func (s *Sample) request(ctx context.Context, host, key string, r *mathrand.Rand) (*http.Request, error) {
+func (s *Sample) newRequest(ctx context.Context, host, key string, r *mathrand.Rand) (*http.Request, error) {
 	m, p, b := http.MethodGet, "/listings/1", io.Reader(nil)
 	if r.Float64() < enrolFraction {
 		m, p, b = http.MethodPost, "/enrolments/1", strings.NewReader("child=1")
@@ -158,7 +161,7 @@
 	return q, nil
 }
 
-func end(ctx context.Context) string {
+func transportFailure(ctx context.Context) string {
 	if ctx.Err() != nil {
 		return outcome.Left
 	}
--- a/scripttest/scripttest.go
+++ b/scripttest/scripttest.go
@@ -1,5 +1,5 @@
-// Package scripttest lets the commands of scripted tests check values. It is
-// for tests only.
+// Package scripttest lets the commands of testscript scripts use assertions of
+// package must. It is for tests only.
 package scripttest
 
 import (
@@ -9,26 +9,27 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// Scripttest reports failed assertions with the line of the script.
+// Scripttest implements must.T: a failed assertion fails the script at its
+// current line.
 type Scripttest struct {
 	// Script is the running script.
 	Script *testscript.TestScript
 }
 
-// Helper is part of must.T.
+// Helper implements must.T.
 func (s Scripttest) Helper() {}
 
-// Fatalf is part of must.T.
+// Fatalf implements must.T.
 func (s Scripttest) Fatalf(m string, a ...any) { s.Script.Fatalf(m, a...) }
 
-// Number reads an argument of a command.
+// Number parses a command argument as an integer.
 func (s Scripttest) Number(a string) int {
 	n, err := strconv.Atoi(a)
 	s.Script.Check(err)
 	return n
 }
 
-// Duration reads an argument of a command.
+// Duration parses a command argument as a duration.
 func (s Scripttest) Duration(a string) time.Duration {
 	d, err := time.ParseDuration(a)
 	s.Script.Check(err)
--- a/testcerts/testcerts.go
+++ b/testcerts/testcerts.go
@@ -1,4 +1,4 @@
-// Package testcerts makes certificates for tests.
+// Package testcerts issues certificates for tests.
 package testcerts
 
 import (
@@ -19,14 +19,14 @@
 	"celeryreach.example/celeryreach/certificate"
 )
 
-// Testcerts is a certificate authority that lives as long as a test.
+// Testcerts is a certificate authority for one test.
 type Testcerts struct {
 	authority *x509.Certificate
 	key       *ecdsa.PrivateKey
 	serial    int64
 }
 
-// New makes an authority.
+// New creates a certificate authority.
 func New() (*Testcerts, error) {
 	t := new(Testcerts)
 	c, k, err := t.issue(&x509.Certificate{
@@ -36,14 +36,15 @@
 	return t, err
 }
 
-// Pool returns the authority as a client trusts it.
+// Pool returns a certificate pool that contains the authority.
 func (t *Testcerts) Pool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(t.authority)
 	return p
 }
 
-// Write issues a certificate for 127.0.0.1 into dir and returns its files.
+// Write issues a certificate for 127.0.0.1, writes it to dir with its key and
+// the authority's certificate, and returns the file names.
 func (t *Testcerts) Write(dir string) (certificate.Certificate, error) {
 	var f certificate.Certificate
 	c, k, err := t.issue(&x509.Certificate{
@@ -55,7 +56,7 @@
 	}
 	b, err := x509.MarshalECPrivateKey(k)
 	if err != nil {
-		return f, errors.Wrap(err, "key")
+		return f, errors.Wrap(err, "marshal key")
 	}
 	f = certificate.Certificate{
 		File: filepath.Join(dir, "host.pem"), KeyFile: filepath.Join(dir, "key.pem"), AuthorityFile: filepath.Join(dir, "authority.pem"),
@@ -65,7 +66,7 @@
 		content    []byte
 	}{{f.File, "CERTIFICATE", c.Raw}, {f.KeyFile, "EC PRIVATE KEY", b}, {f.AuthorityFile, "CERTIFICATE", t.authority.Raw}} {
 		if err := os.WriteFile(p.file, pem.EncodeToMemory(&pem.Block{Type: p.kind, Bytes: p.content}), 0o600); err != nil {
-			return f, errors.Wrap(err, "certificate")
+			return f, errors.Wrap(err, "write certificate file")
 		}
 	}
 	return f, nil
@@ -74,7 +75,7 @@
 func (t *Testcerts) issue(c *x509.Certificate) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "key")
+		return nil, nil, errors.Wrap(err, "generate key")
 	}
 	t.serial++
 	c.SerialNumber = big.NewInt(t.serial)
@@ -86,8 +87,8 @@
 	}
 	b, err := x509.CreateCertificate(rand.Reader, c, p, &k.PublicKey, s)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "certificate")
+		return nil, nil, errors.Wrap(err, "create certificate")
 	}
 	r, err := x509.ParseCertificate(b)
-	return r, k, errors.Wrap(err, "certificate")
+	return r, k, errors.Wrap(err, "parse certificate")
 }
--- a/writtenform/filler.go
+++ b/writtenform/filler.go
@@ -14,27 +14,27 @@
 	"github.com/shoenig/test/must"
 )
 
-// filler sets every field that is written. The values are numbered in the order
-// of the fields and do not hold their names.
+// filler sets every field that is written as JSON. The values are numbered in
+// field order and do not contain field names.
 type filler struct {
-	t    *testing.T
-	n    int
-	path []reflect.Type // the structs that are being filled
+	t         *testing.T
+	n         int
+	enclosing []reflect.Type // the structs being filled, outermost first
 }
 
 func (f *filler) fill(v reflect.Value) {
 	f.n++
-	if f.special(v) {
+	if f.fillKnownType(v) {
 		return
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		f.object(v)
+		f.fillStruct(v)
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
 		f.fill(v.Elem())
 	case reflect.Slice:
-		f.list(v)
+		f.fillSlice(v)
 	case reflect.Map:
 		k, e := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
 		f.fill(k)
@@ -42,11 +42,11 @@
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(k, e)
 	default:
-		f.plain(v)
+		f.fillScalar(v)
 	}
 }
 
-func (f *filler) plain(v reflect.Value) {
+func (f *filler) fillScalar(v reflect.Value) {
 	switch {
 	case v.Kind() == reflect.String:
 		v.SetString(fmt.Sprint("text ", f.n))
@@ -59,13 +59,14 @@
 	case v.CanFloat():
 		v.SetFloat(float64(f.n) + 0.5)
 	default:
-		must.Unreachable(f.t, must.Sprintf("no value for %s", v.Type()))
+		must.Unreachable(f.t, must.Sprintf("no test value for type %s", v.Type()))
 	}
 	must.False(f.t, v.IsZero())
 }
 
-// special sets types with a form of their own.
-func (f *filler) special(v reflect.Value) bool {
+// fillKnownType sets types that are not written according to their
+// reflect.Kind, such as time.Time.
+func (f *filler) fillKnownType(v reflect.Value) bool {
 	switch p := v.Addr().Interface().(type) {
 	case *time.Duration:
 		*p = time.Duration(f.n) * time.Millisecond
@@ -78,27 +79,28 @@
 	case *jsontext.Value:
 		*p = fmt.Append(nil, f.n)
 	case encoding.TextUnmarshaler, json.Unmarshaler, json.UnmarshalerFrom:
-		must.Unreachable(f.t, must.Sprintf("no value for %s", v.Type()))
+		must.Unreachable(f.t, must.Sprintf("no test value for type %s", v.Type()))
 	default:
 		return false
 	}
 	return true
 }
 
-// object leaves out a struct that stands in itself for the second time.
-func (f *filler) object(v reflect.Value) {
-	f.path = append(f.path, v.Type())
+// fillStruct fills the exported fields of a struct. fillSlice ends the
+// recursion of types that contain themselves.
+func (f *filler) fillStruct(v reflect.Value) {
+	f.enclosing = append(f.enclosing, v.Type())
 	for i := range v.NumField() {
 		if s := v.Type().Field(i); s.IsExported() && s.Tag.Get("json") != "-" {
 			f.fill(v.Field(i))
 		}
 	}
-	f.path = f.path[:len(f.path)-1]
+	f.enclosing = f.enclosing[:len(f.enclosing)-1]
 }
 
-func (f *filler) list(v reflect.Value) {
+func (f *filler) fillSlice(v reflect.Value) {
 	e := v.Type().Elem()
-	if slices.Contains(f.path, e) {
+	if slices.Contains(f.enclosing, e) {
 		return
 	}
 	n := 2
