--- a/fleetscript/begin.go
+++ b/fleetscript/begin.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	defaultSlots = 4
-	work         = 2 * time.Millisecond
+	defaultSlots    = 4
+	requestDuration = 2 * time.Millisecond
 )
 
-func begin(ts *testscript.TestScript, neg bool, args []string) {
-	s := of(ts)
+func startFleet(ts *testscript.TestScript, neg bool, args []string) {
+	s := scriptOf(ts)
 	if neg || s.fleet != nil {
-		ts.Fatalf("usage: fleet [-hosts N] [-backends N] [-slots N] [-unconfigured] FILE, once")
+		ts.Fatalf("usage: fleet [-hosts N] [-backends N] [-slots N] [-unconfigured] FILE (once per script)")
 	}
 	f := &fleet.Fleet{
-		Clock: s.clock, HostsPerDomain: 1, BackendsPerService: 1, Slots: defaultSlots, Work: work,
+		Clock: s.clock, HostsPerDomain: 1, BackendsPerService: 1, Slots: defaultSlots, Work: requestDuration,
 		Log: log.NewWithOptions(&s.log, log.Options{Level: log.DebugLevel, Formatter: log.LogfmtFormatter}),
 	}
-	f.Config = readConfig(ts, options(ts, f, args))
+	f.Config = readConfig(ts, parseOptions(ts, f, args))
 	s.fleet = f
 	ts.Defer(func() {
 		ts.Check(f.Stop())
-		s.secrets(ts)
+		s.checkNoKeyLeaked(ts)
 	})
 	ts.Check(f.Start(s.context))
 	h := f.Settings(f.Hosts()[0])
@@ -42,8 +42,9 @@
 	ts.Setenv("PLATFORM", f.PlatformURL)
 }
 
-// options sets the fleet's fields and returns the configuration file.
-func options(ts *testscript.TestScript, f *fleet.Fleet, args []string) string {
+// parseOptions sets fields of the fleet from the options and returns the name
+// of the configuration file.
+func parseOptions(ts *testscript.TestScript, f *fleet.Fleet, args []string) string {
 	n := map[string]*int{"-hosts": &f.HostsPerDomain, "-backends": &f.BackendsPerService, "-slots": &f.Slots}
 	for len(args) > 1 {
 		if args[0] == "-unconfigured" {
@@ -73,14 +74,14 @@
 	for _, m := range d.Decode(&c) {
 		ts.Fatalf("%s: %s", file, m)
 	}
-	c.Backends = nil // the fleet has its own
+	c.Backends = nil // the fleet adds its own backend servers
 	return c
 }
 
-// secrets fails the script when a key stands in a log line or a metric: both
-// are copied to places that many people read.
-func (s *script) secrets(ts *testscript.TestScript) {
-	k := append([]string{s.fleet.Operator}, s.issued...)
+// checkNoKeyLeaked fails the script if a key appears in a log line or a metric,
+// because both are copied to places that many people can read.
+func (s *script) checkNoKeyLeaked(ts *testscript.TestScript) {
+	k := append([]string{s.fleet.Operator}, s.issuedKeys...)
 	for _, v := range s.fleet.Keys {
 		k = append(k, v)
 	}
@@ -88,7 +89,7 @@
 	expvar.Do(func(v expvar.KeyValue) { t += v.Key + " " + v.Value.String() + "\n" })
 	for _, v := range k {
 		if strings.Contains(t, v) {
-			ts.Fatalf("a key stands in the log or in a metric")
+			ts.Fatalf("a secret key appears in the log or in a metric")
 		}
 	}
 }
--- a/fleetscript/call.go
+++ b/fleetscript/call.go
@@ -12,16 +12,17 @@
 	"celeryreach.example/celeryreach/cmd"
 )
 
-var fileName = regexp.MustCompile(`^[a-z]+\.(html|hujson|json)$`)
+var fileArgument = regexp.MustCompile(`^[a-z]+\.(html|hujson|json)$`)
 
 var issuedKey = regexp.MustCompile(`key: ([A-Z2-7]{26})\n`)
 
-// celeryreach runs a command in this process. Arguments that look like a file
-// are made absolute: a process has one working directory for all scripts.
+// celeryreach runs a command of the command line in this process. Arguments
+// that look like file names are made absolute, because all scripts share the
+// working directory of the process.
 func celeryreach(ts *testscript.TestScript, neg bool, args []string) {
-	s := of(ts)
-	o, e, c := s.command(ts, args)
-	s.note("$ celeryreach "+strings.Join(args, " "), o+e, c)
+	s := scriptOf(ts)
+	o, e, c := s.runCommand(ts, args)
+	s.recordCall("$ celeryreach "+strings.Join(args, " "), o+e, c)
 	fmt.Fprint(ts.Stdout(), o) //nolint:errcheck // a buffer of the script
 	fmt.Fprint(ts.Stderr(), e) //nolint:errcheck // a buffer of the script
 	if neg == (c == 0) {
@@ -29,40 +30,40 @@
 	}
 }
 
-func (s *script) command(ts *testscript.TestScript, args []string) (out, err string, code int) {
+func (s *script) runCommand(ts *testscript.TestScript, args []string) (out, err string, code int) {
 	var o, e bytes.Buffer
 	m := &cmd.Cmd{Out: &o, Err: &e, Getenv: ts.Getenv, Clock: s.clock}
 	a := []string{"celeryreach"}
 	for _, v := range args {
-		if fileName.MatchString(v) {
+		if fileArgument.MatchString(v) {
 			v = ts.MkAbs(v)
 		}
 		a = append(a, v)
 	}
 	code = m.Run(s.context, a)
 	if k := issuedKey.FindStringSubmatch(o.String()); k != nil {
-		s.issued = append(s.issued, k[1])
+		s.issuedKeys = append(s.issuedKeys, k[1])
 		ts.Setenv("ISSUED", k[1])
 	}
-	d := s.work + string(os.PathSeparator)
+	d := s.workDir + string(os.PathSeparator)
 	return strings.ReplaceAll(o.String(), d, ""), strings.ReplaceAll(e.String(), d, ""), code
 }
 
 func request(ts *testscript.TestScript, neg bool, args []string) {
-	s := of(ts)
-	t, err := s.request(ts, args)
+	s := scriptOf(ts)
+	t, err := s.sendRequest(ts, args)
 	if neg != (err != nil) {
 		ts.Fatalf("request: %s%v", t, err)
 	}
 	if err != nil {
 		t = "no answer\n"
 	}
-	s.note("$ request "+strings.Join(args, " "), t, 0)
+	s.recordCall("$ request "+strings.Join(args, " "), t, 0)
 	fmt.Fprint(ts.Stdout(), t) //nolint:errcheck // a buffer of the script
 }
 
-func (s *script) request(ts *testscript.TestScript, args []string) (string, error) {
-	f := running(ts)
+func (s *script) sendRequest(ts *testscript.TestScript, args []string) (string, error) {
+	f := runningFleet(ts)
 	k := ""
 	if len(args) > 2 && args[0] == "-key" {
 		k = args[1]
@@ -82,41 +83,41 @@
 	return fmt.Sprintf("%d %s\n", c, strings.TrimSpace(b)), err
 }
 
-// until polls, since nothing tells a caller when the state of another host
-// has changed. It leaves one entry in the session, whatever the number of
-// polls was.
+// until runs a command repeatedly until its output matches. It polls because
+// nothing notifies a caller of a state change on another host. It adds one
+// entry to the transcript, regardless of the number of polls.
 func until(ts *testscript.TestScript, neg bool, args []string) {
-	s := of(ts)
+	s := scriptOf(ts)
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: until PATTERN celeryreach|request ARGS")
 	}
 	r, err := regexp.Compile(args[0])
 	ts.Check(err)
 	var t string
-	err = running(ts).Await(s.context, args[0], func() bool {
-		t = s.once(ts, args[1], args[2:])
+	err = runningFleet(ts).Await(s.context, args[0], func() bool {
+		t = s.runOnce(ts, args[1], args[2:])
 		return r.MatchString(t)
 	})
 	if err != nil {
 		ts.Fatalf("%v; last output:\n%s", err, t)
 	}
-	s.note("$ until "+strings.Join(args[1:], " "), t, 0)
+	s.recordCall("$ until "+strings.Join(args[1:], " "), t, 0)
 	fmt.Fprint(ts.Stdout(), t) //nolint:errcheck // a buffer of the script
 }
 
-func (s *script) once(ts *testscript.TestScript, name string, args []string) string {
+func (s *script) runOnce(ts *testscript.TestScript, name string, args []string) string {
 	switch name {
 	case "celeryreach":
-		o, e, _ := s.command(ts, args)
+		o, e, _ := s.runCommand(ts, args)
 		return o + e
 	case "request":
-		t, err := s.request(ts, args)
+		t, err := s.sendRequest(ts, args)
 		if err != nil {
 			return "no answer\n"
 		}
 		return t
 	default:
-		ts.Fatalf("until: cannot run %s", name)
+		ts.Fatalf("until: unsupported command %s", name)
 		return ""
 	}
 }
--- a/fleetscript/docs_test.go
+++ b/fleetscript/docs_test.go
@@ -9,12 +9,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// pages are the operators' pages whose commands the scripts doc_*.txtar run.
-var pages = []string{"first-deployment", "ordinary-day", "peak", "maintenance", "hosts", "keys", "burn-report", "lost-region", "store-outage"}
+// operatorPages are the operators' pages whose commands the scripts doc_*.txtar
+// run.
+var operatorPages = []string{"first-deployment", "ordinary-day", "peak", "maintenance", "hosts", "keys", "burn-report", "lost-region", "store-outage"}
 
-// Every command that a page tells operators to type stands in a script, word
-// for word, so that the scripts run what the pages say.
-func TestPagesAreRun(t *testing.T) {
+// Every command line on an operators' page must also appear in a script, letter
+// for letter, so that the scripts run what the pages document.
+func TestScriptsRunAllDocumentedCommands(t *testing.T) {
 	f, err := filepath.Glob("testdata/doc_*.txtar")
 	must.NoError(t, err)
 	run := make(map[string]bool)
@@ -27,7 +28,7 @@
 			}
 		}
 	}
-	for _, p := range pages {
+	for _, p := range operatorPages {
 		b, err := os.ReadFile("../docs/operators/" + p + ".md")
 		must.NoError(t, err)
 		n := 0
--- a/fleetscript/fleetscript.go
+++ b/fleetscript/fleetscript.go
@@ -1,6 +1,6 @@
-// Package fleetscript is the test language for scenarios of whole deployments:
-// commands for testscript that start a fleet, call it as callers and operators
-// do, and break it. It is used by tests only.
+// Package fleetscript defines testscript commands for tests of complete
+// deployments: the commands start a fleet, call it as callers and operators do,
+// and inject faults. It is used by tests only.
 //
 //	fleet [-hosts N] [-backends N] [-slots N] [-unconfigured] FILE
 //	                                start a deployment with the configuration FILE
@@ -8,19 +8,21 @@
 //	request [-key KEY] HOST ACCOUNT METHOD PATH [ID]
 //	                                send a caller's request, print status and body
 //	offer TIME HOST ACCOUNT RATE PATH...
-//	                                send requests for a time, RATE a second for each four arguments
+//	                                send requests for TIME: RATE per second for each
+//	                                group of HOST ACCOUNT RATE PATH
 //	until PATTERN COMMAND ARGS      run celeryreach or request until its output matches
-//	cut A B, heal A B               separate two places, end that
+//	cut A B, heal A B               start and end a partition between two labels
 //	hostkill HOST, hoststop HOST, hoststart HOST, ready
 //	                                crash, shut down, start a host; wait for all hosts
-//	platform {"Outage": true}       play faults of the platform
-//	replace OLD NEW FILE            change a file of the script
+//	platform {"Outage": true}       set the faults of the platform stand-in
+//	replace OLD NEW FILE            replace a text in a file of the script
 //	runs N                          check that no id ran more than N times
-//	session                         print all that was called so far, normalized
+//	session                         print all calls and outputs so far, normalized
 //
-// The script finds $CELERYREACH_OPERATOR, $CELERYREACH_OPERATOR_KEY,
-// $CELERYREACH_LOOKUP, $PLATFORM, and $ISSUED, the key that was issued last.
-// When a script ends, no key that it used may stand in any log line or metric.
+// Scripts can use the variables $CELERYREACH_OPERATOR,
+// $CELERYREACH_OPERATOR_KEY, $CELERYREACH_LOOKUP, $PLATFORM and $ISSUED, which is
+// the most recently issued key. A script fails if a key that it used appears in a
+// log line or a metric.
 package fleetscript
 
 import (
@@ -38,11 +40,11 @@
 
 const scriptTimeout = 40 * time.Second
 
-// Fleetscript runs the scripts of a directory.
+// Fleetscript runs the scripts of a directory as tests.
 type Fleetscript struct {
-	// Dir holds the scripts, *.txtar.
+	// Dir is the directory of the scripts, *.txtar.
 	Dir string
-	// Update rewrites the golden files in the scripts.
+	// Update rewrites the expected output in the scripts.
 	Update bool
 }
 
@@ -52,15 +54,15 @@
 		Dir: f.Dir, UpdateScripts: f.Update, RequireUniqueNames: true,
 		Setup: func(e *testscript.Env) error {
 			x, c := context.WithTimeout(context.Background(), scriptTimeout)
-			s := &script{context: x, clock: clockwork.NewRealClock(), work: e.WorkDir}
+			s := &script{context: x, clock: clockwork.NewRealClock(), workDir: e.WorkDir}
 			e.Values[scriptKey{}] = s
 			e.Defer(c)
 			return nil
 		},
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
-			"fleet": begin, "celeryreach": celeryreach, "request": request, "offer": offer, "until": until,
-			"cut": cut, "heal": heal, "hostkill": kill, "hoststop": stop, "hoststart": start, "ready": ready,
-			"platform": platform, "replace": replace, "runs": runs, "session": session,
+			"fleet": startFleet, "celeryreach": celeryreach, "request": request, "offer": offer, "until": until,
+			"cut": cut, "heal": heal, "hostkill": killHost, "hoststop": stopHost, "hoststart": startHost, "ready": waitUntilReady,
+			"platform": setPlatformFaults, "replace": replaceInFile, "runs": checkMaxRuns, "session": session,
 		},
 	})
 }
@@ -69,24 +71,25 @@
 
 // script is the state of one running script.
 type script struct {
-	context context.Context
-	clock   clockwork.Clock
-	work    string
-	fleet   *fleet.Fleet
-	log     logbuffer.Logbuffer
-	session strings.Builder
-	issued  []string
+	context    context.Context
+	clock      clockwork.Clock
+	workDir    string
+	fleet      *fleet.Fleet
+	log        logbuffer.Logbuffer
+	transcript strings.Builder
+	issuedKeys []string
 }
 
-func of(ts *testscript.TestScript) *script {
+func scriptOf(ts *testscript.TestScript) *script {
 	return ts.Value(scriptKey{}).(*script)
 }
 
-// running returns the script's fleet, which must have been started.
-func running(ts *testscript.TestScript) *fleet.Fleet {
-	f := of(ts).fleet
+// runningFleet returns the fleet of the script. It fails the script if no fleet
+// has been started.
+func runningFleet(ts *testscript.TestScript) *fleet.Fleet {
+	f := scriptOf(ts).fleet
 	if f == nil {
-		ts.Fatalf("no fleet runs")
+		ts.Fatalf("no fleet has been started")
 	}
 	return f
 }
--- a/fleetscript/fleetscript_test.go
+++ b/fleetscript/fleetscript_test.go
@@ -7,7 +7,8 @@
 	"celeryreach.example/celeryreach/fleetscript"
 )
 
-// UPDATE=1 rewrites the golden files.
+// With UPDATE=1 in the environment the expected output in the scripts is
+// rewritten.
 func TestScripts(t *testing.T) {
 	s := &fleetscript.Fleetscript{Dir: "testdata", Update: os.Getenv("UPDATE") != ""}
 	s.Run(t)
--- a/fleetscript/offer.go
+++ b/fleetscript/offer.go
@@ -9,22 +9,22 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// offer plays several groups of callers at once and waits for the last answer.
-// The pace is even and does not wait for answers, as callers do not wait for
-// each other.
+// offer runs several groups of callers concurrently and waits for all
+// responses. Requests are sent at an even rate without waiting for earlier
+// responses, because independent callers do not wait for each other.
 func offer(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 5 || len(args)%4 != 1 {
 		ts.Fatalf("usage: offer TIME HOST ACCOUNT RATE PATH...")
 	}
 	d, err := time.ParseDuration(args[0])
 	ts.Check(err)
-	s := of(ts)
+	s := scriptOf(ts)
 	e := make(chan error)
 	n := 0
 	for a := args[1:]; len(a) > 0; a = a[4:] {
 		r, err := strconv.Atoi(a[2])
 		ts.Check(err)
-		go s.group(ts, a[0], a[1], a[3], int(d.Seconds()*float64(r)), time.Second/time.Duration(r), e)
+		go s.sendAtRate(ts, a[0], a[1], a[3], int(d.Seconds()*float64(r)), time.Second/time.Duration(r), e)
 		n++
 	}
 	for range n {
@@ -32,8 +32,8 @@
 	}
 }
 
-func (s *script) group(ts *testscript.TestScript, host, account, path string, n int, gap time.Duration, done chan<- error) {
-	f := running(ts)
+func (s *script) sendAtRate(ts *testscript.TestScript, host, account, path string, n int, gap time.Duration, done chan<- error) {
+	f := runningFleet(ts)
 	t := s.clock.Now()
 	e := make(chan error, n)
 	for i := range n {
--- a/fleetscript/session.go
+++ b/fleetscript/session.go
@@ -16,23 +16,23 @@
 	anyID   = regexp.MustCompile(`-[A-Z2-7]{6}\b`)
 )
 
-// note adds one call to the session.
-func (s *script) note(call, output string, code int) {
-	s.session.WriteString(call + "\n" + output)
+// recordCall appends one call and its output to the transcript.
+func (s *script) recordCall(call, output string, code int) {
+	s.transcript.WriteString(call + "\n" + output)
 	if code != 0 {
-		fmt.Fprintf(&s.session, "exit code %d\n", code)
+		fmt.Fprintf(&s.transcript, "exit code %d\n", code)
 	}
-	s.session.WriteString("\n")
+	s.transcript.WriteString("\n")
 }
 
-// session prints the calls so far with names in the place of what differs from
-// run to run: keys, hashes, addresses, drawn ids.
+// session prints the transcript. Values that differ between runs, such as keys,
+// hashes, addresses and random ids, are replaced by placeholders.
 func session(ts *testscript.TestScript, neg bool, args []string) {
-	s := of(ts)
+	s := scriptOf(ts)
 	if neg || len(args) != 0 {
 		ts.Fatalf("usage: session")
 	}
-	fmt.Fprint(ts.Stdout(), s.normalize(s.session.String())) //nolint:errcheck // a buffer of the script
+	fmt.Fprint(ts.Stdout(), s.normalize(s.transcript.String())) //nolint:errcheck // a buffer of the script
 }
 
 func (s *script) normalize(t string) string {
--- a/scenario/crowd_test.go
+++ b/scenario/crowd_test.go
@@ -15,100 +15,101 @@
 )
 
 const (
-	callersPerHost = 3
-	leaving        = 0.6
-	depositing     = 0.3
-	leaveWithin    = 4 * time.Millisecond
-	callerPause    = 15 * time.Millisecond
-	senders        = 15 // at once through each host in a burst
+	callersPerHost  = 3
+	cancelFraction  = 0.6
+	depositFraction = 0.3
+	maxCancelDelay  = 4 * time.Millisecond
+	callerPause     = 15 * time.Millisecond
+	sendersPerHost  = 15 // concurrent senders to each host in a burst
 )
 
-// crowd is callers in the background that judge what they get.
-type crowd struct {
-	world  *world
+// callerGroup runs callers in the background and checks the responses that they
+// get.
+type callerGroup struct {
+	state  *scriptState
 	cancel context.CancelFunc
 	done   chan struct{}
-	count  int
+	size   int
 
-	mu       sync.Mutex
-	endings  map[string]int
-	deposits map[string]string // how each id ended, for its own caller
-	wrong    []string
+	mu              sync.Mutex
+	outcomeCounts   map[string]int
+	depositOutcomes map[string]string // outcome of each deposit by id
+	violations      []string
 }
 
-func crowds(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
+func crowdCommand(ts *testscript.TestScript, _ bool, args []string) {
+	w := stateOf(ts)
 	if args[0] == "start" {
-		w.crowd = begin(w, args[1], args[2:])
+		w.callers = startCallers(w, args[1], args[2:])
 		return
 	}
-	w.crowd.stop(ts)
+	w.callers.stop(ts)
 }
 
-func begin(w *world, account string, hosts []string) *crowd {
+func startCallers(w *scriptState, account string, hosts []string) *callerGroup {
 	x, f := context.WithCancel(w.ctx)
-	c := &crowd{world: w, cancel: f, done: make(chan struct{}), endings: make(map[string]int), deposits: make(map[string]string)}
+	c := &callerGroup{state: w, cancel: f, done: make(chan struct{}), outcomeCounts: make(map[string]int), depositOutcomes: make(map[string]string)}
 	for _, h := range hosts {
 		for i := range callersPerHost {
-			c.count++
-			r := rand.New(rand.NewPCG(uint64(i), uint64(c.count)))
-			go c.caller(x, account, h, r)
+			c.size++
+			r := rand.New(rand.NewPCG(uint64(i), uint64(c.size)))
+			go c.runCaller(x, account, h, r)
 		}
 	}
 	return c
 }
 
-func (c *crowd) caller(ctx context.Context, account, host string, r *rand.Rand) {
+func (c *callerGroup) runCaller(ctx context.Context, account, host string, r *rand.Rand) {
 	defer func() { c.done <- struct{}{} }()
 	for n := 0; ctx.Err() == nil; n++ {
 		id := fmt.Sprintf("%s-%s-%x-%d", account, host, r.Uint32(), n)
-		x, f := context.WithCancel(c.world.ctx)
-		if r.Float64() < leaving {
-			x, f = context.WithTimeout(c.world.ctx, time.Duration(r.Int64N(int64(leaveWithin))))
+		x, f := context.WithCancel(c.state.ctx)
+		if r.Float64() < cancelFraction {
+			x, f = context.WithTimeout(c.state.ctx, time.Duration(r.Int64N(int64(maxCancelDelay))))
 		}
-		if r.Float64() < depositing {
-			c.deposit(x, account, host, id)
+		if r.Float64() < depositFraction {
+			c.sendDeposit(x, account, host, id)
 		} else {
-			c.list(x, account, host, id)
+			c.sendListing(x, account, host, id)
 		}
 		f()
 		select {
 		case <-ctx.Done():
-		case <-c.world.fleet.Clock.After(callerPause):
+		case <-c.state.fleet.Clock.After(callerPause):
 		}
 	}
 }
 
-func (c *crowd) list(ctx context.Context, account, host, id string) {
+func (c *callerGroup) sendListing(ctx context.Context, account, host, id string) {
 	p := "/listings/" + id
-	k, b, err := c.world.fleet.Send(ctx, host, account, http.MethodGet, p, "")
-	e := ending(ctx, k, b, err)
-	c.note(e)
+	k, b, err := c.state.fleet.Send(ctx, host, account, http.MethodGet, p, "")
+	e := classifyOutcome(ctx, k, b, err)
+	c.countOutcome(e)
 	own := strings.Contains(b, " GET "+p+" ") && strings.HasSuffix(b, "\n.")
 	if e == "answered" && !own {
 		c.mu.Lock()
-		c.wrong = append(c.wrong, fmt.Sprintf("%s got %q", p, b))
+		c.violations = append(c.violations, fmt.Sprintf("%s got %q", p, b))
 		c.mu.Unlock()
 	}
 }
 
-func (c *crowd) deposit(ctx context.Context, account, host, id string) {
-	k, b, err := c.world.fleet.Send(ctx, host, account, http.MethodPost, "/deposits/"+id, id)
-	e := ending(ctx, k, b, err)
-	c.note(e)
+func (c *callerGroup) sendDeposit(ctx context.Context, account, host, id string) {
+	k, b, err := c.state.fleet.Send(ctx, host, account, http.MethodPost, "/deposits/"+id, id)
+	e := classifyOutcome(ctx, k, b, err)
+	c.countOutcome(e)
 	c.mu.Lock()
-	c.deposits[id] = e
+	c.depositOutcomes[id] = e
 	c.mu.Unlock()
 }
 
-func (c *crowd) note(e string) {
+func (c *callerGroup) countOutcome(e string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.endings[e]++
+	c.outcomeCounts[e]++
 }
 
-// ending names how a request ended for its caller.
-func ending(ctx context.Context, code int, body string, err error) string {
+// classifyOutcome returns the outcome of a request as its caller sees it.
+func classifyOutcome(ctx context.Context, code int, body string, err error) string {
 	switch {
 	case err != nil && ctx.Err() != nil:
 		return "left"
@@ -123,43 +124,45 @@
 	}
 }
 
-// stop ends the callers and judges: every answer was whole and the caller's
-// own, no deposit ran twice, each answered one ran once, and each that was
-// called "not run" did not run. It lets them go on until one was answered: on a
-// busy machine the script can be through before any of them is.
-func (c *crowd) stop(ts *testscript.TestScript) {
-	ts.Check(c.world.fleet.Await(c.world.ctx, "an answer to one of the crowd", func() bool {
+// stop ends the callers and checks their results: every response was complete
+// and belonged to its request, no deposit ran twice, each answered deposit ran
+// once, and each deposit reported as "not run" did not run. It first waits
+// until at least one request has been answered, because on a busy machine the
+// script can end before that.
+func (c *callerGroup) stop(ts *testscript.TestScript) {
+	ts.Check(c.state.fleet.Await(c.state.ctx, "a response to a background caller", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.endings["answered"] > 0
+		return c.outcomeCounts["answered"] > 0
 	}))
 	c.cancel()
-	for range c.count {
+	for range c.size {
 		<-c.done
 	}
-	r := c.world.fleet.Runs()
-	for id, e := range c.deposits {
+	r := c.state.fleet.Runs()
+	for id, e := range c.depositOutcomes {
 		n := r[id]
 		if n > 1 || e == "answered" && n != 1 || e == "not run" && n != 0 {
-			c.wrong = append(c.wrong, fmt.Sprintf("deposit %s ended %q and ran %d times", id, e, n))
+			c.violations = append(c.violations, fmt.Sprintf("deposit %s ended %q and ran %d times", id, e, n))
 		}
 	}
-	if len(c.wrong) > 0 {
-		ts.Fatalf("%d wrong: %s", len(c.wrong), c.wrong[0])
+	if len(c.violations) > 0 {
+		ts.Fatalf("%d violations, the first: %s", len(c.violations), c.violations[0])
 	}
-	if c.endings["answered"] == 0 {
-		ts.Fatalf("nobody was answered: %v", c.endings)
+	if c.outcomeCounts["answered"] == 0 {
+		ts.Fatalf("no request was answered: %v", c.outcomeCounts)
 	}
 	for _, e := range []string{"broken", "unknown"} {
-		if c.endings[e] == 0 {
+		if c.outcomeCounts[e] == 0 {
 			fmt.Fprintf(ts.Stdout(), "no %s\n", e)
 		}
 	}
-	ts.Logf("%v", c.endings)
+	ts.Logf("%v", c.outcomeCounts)
 }
 
-// answers sends n requests one after another and counts the answers.
-func (w *world) answers(host, account string, n int) int {
+// countAnswered sends n requests one after another and returns how many were
+// answered.
+func (w *scriptState) countAnswered(host, account string, n int) int {
 	k := 0
 	for range n {
 		if w.send([]string{host, account, http.MethodGet, "/listings/1"}) == "answered" {
@@ -169,10 +172,11 @@
 	return k
 }
 
-// burst sends n requests through each host as fast as they go and fails if
-// more were run than rate and burst allow for the time it took.
+// burst sends n requests through each host as fast as possible and fails if
+// more requests ran than the account's rate and burst allow in the elapsed
+// time.
 func burst(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
+	w := stateOf(ts)
 	var a account.Account
 	for _, v := range w.fleet.Config.Accounts {
 		if v.Name == args[0] {
@@ -186,9 +190,9 @@
 	d := make(chan int)
 	g := 0
 	for _, h := range args[2:] {
-		for range senders {
+		for range sendersPerHost {
 			g++
-			go func() { d <- w.answers(h, a.Name, n/senders) }()
+			go func() { d <- w.countAnswered(h, a.Name, n/sendersPerHost) }()
 		}
 	}
 	k := 0
@@ -200,7 +204,7 @@
 		ts.Fatalf("%d answered, %.1f allowed", k, m)
 	}
 	if k == 0 {
-		ts.Fatalf("nobody was answered")
+		ts.Fatalf("no request was answered")
 	}
 	ts.Logf("%d answered, %.1f allowed", k, m)
 }
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -1,7 +1,7 @@
-// Package scenario_test plays failures of whole deployments: real hosts on
-// loopback, with stand-ins for the platform and for backend servers. The
-// scripts in testdata are in the language of testscript with the commands that
-// commands() lists.
+// Package scenario_test simulates failures of complete deployments: real hosts
+// on loopback, with stand-ins for the platform and the backend servers. The
+// scripts in testdata are testscript scripts with the commands that commands()
+// lists.
 package scenario_test
 
 import (
@@ -36,24 +36,24 @@
 )
 
 const (
-	patience = 40 * time.Second // of a script; only a hang uses it up
-	hold     = 1500 * time.Millisecond
+	scriptTimeout = 40 * time.Second // limit of a script, reached only if it hangs
+	hold          = 1500 * time.Millisecond
 )
 
-type world struct {
-	ctx   context.Context
-	fleet *fleet.Fleet
-	crowd *crowd
-	flips chan error
+type scriptState struct {
+	ctx        context.Context
+	fleet      *fleet.Fleet
+	callers    *callerGroup
+	flipResult chan error
 }
 
 func TestScenarios(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(e *testscript.Env) error {
-			x, f := context.WithTimeout(context.Background(), patience)
-			w := &world{ctx: x}
-			e.Values["world"] = w
+			x, f := context.WithTimeout(context.Background(), scriptTimeout)
+			w := &scriptState{ctx: x}
+			e.Values["state"] = w
 			e.Defer(func() {
 				f()
 				if w.fleet != nil {
@@ -68,31 +68,31 @@
 
 func commands() map[string]func(*testscript.TestScript, bool, []string) {
 	return map[string]func(*testscript.TestScript, bool, []string){
-		"deploy":   deploy, // deploy HOSTS-A-DOMAIN: start a deployment
-		"send":     send,   // send HOST ACCOUNT METHOD PATH [ID]: print how it ended
-		"await":    await,  // await REGEXP COMMAND...: until its output matches
-		"runs":     runs,   // runs ID N: the judge's count of runs
-		"cut":      links(func(w *world, a, b string) { w.fleet.Cut(a, b) }),
-		"heal":     links(func(w *world, a, b string) { w.fleet.Heal(a, b) }),
-		"crash":    hosts(func(w *world, h string) error { w.fleet.KillHost(h); return nil }),
-		"replace":  hosts(func(w *world, h string) error { w.fleet.StartHost(h); return nil }),
-		"shutdown": hosts(func(w *world, h string) error { return w.fleet.StopHost(h) }),
-		"down":     down,    // down BACKEND...: end backend servers
-		"store":    store,   // store ok|out|slow|lose: what the platform does
-		"operate":  operate, // operate HOST ARGUMENT...: the operators' command line
-		"flip":     flip,    // flip HOST N: switch between the presets N times, beside what follows
-		"flipped":  flipped, // flipped: wait for the end of flip
-		"crowd":    crowds,  // crowd start ACCOUNT HOST... or crowd stop: callers in the background
-		"burst":    burst,   // burst ACCOUNT N HOST...: send N requests to each, judge by rate and burst
+		"deploy":   deploy, // deploy HOSTS: start a deployment with HOSTS hosts in each failure domain
+		"send":     send,   // send HOST ACCOUNT METHOD PATH [ID]: send a request and print its outcome
+		"await":    await,  // await REGEXP COMMAND...: run send or operate until its output matches
+		"runs":     runs,   // runs ID N: check that the backend servers ran the id N times
+		"cut":      linkCommand(func(w *scriptState, a, b string) { w.fleet.Cut(a, b) }),
+		"heal":     linkCommand(func(w *scriptState, a, b string) { w.fleet.Heal(a, b) }),
+		"crash":    hostCommand(func(w *scriptState, h string) error { w.fleet.KillHost(h); return nil }),
+		"replace":  hostCommand(func(w *scriptState, h string) error { w.fleet.StartHost(h); return nil }),
+		"shutdown": hostCommand(func(w *scriptState, h string) error { return w.fleet.StopHost(h) }),
+		"down":     stopBackends,       // down BACKEND...: stop backend servers
+		"store":    setStoreFault,      // store ok|out|slow|lose: set the state of the platform's store
+		"operate":  operate,            // operate HOST ARGUMENT...: run the operators' command line against a host
+		"flip":     startPresetFlips,   // flip HOST N: switch between the presets N times in the background
+		"flipped":  waitForPresetFlips, // flipped: wait until flip has ended
+		"crowd":    crowdCommand,       // crowd start ACCOUNT HOST... or crowd stop: run callers in the background
+		"burst":    burst,              // burst ACCOUNT N HOST...: send N requests to each host and check the account's rate limit
 	}
 }
 
-func of(ts *testscript.TestScript) *world {
-	return ts.Value("world").(*world)
+func stateOf(ts *testscript.TestScript) *scriptState {
+	return ts.Value("state").(*scriptState)
 }
 
 func deploy(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
+	w := stateOf(ts)
 	n, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	p := preset.Preset{
@@ -123,22 +123,23 @@
 		},
 	}
 	ts.Check(w.fleet.Start(w.ctx))
-	// A new deployment refuses until the first division of the limits is known.
+	// A new deployment refuses requests until the hosts know the first division
+	// of the rate limits.
 	for _, h := range w.fleet.Hosts() {
-		ts.Check(w.fleet.Await(w.ctx, "answers of "+h, func() bool {
+		ts.Check(w.fleet.Await(w.ctx, "answers from "+h, func() bool {
 			return w.send([]string{h, "unity", http.MethodGet, "/listings/1"}) == "answered"
 		}))
 	}
 }
 
 func send(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
+	w := stateOf(ts)
 	fmt.Fprintln(ts.Stdout(), w.send(args))
 }
 
-// send returns "answered" or the outcome with Ran. A connection that broke is
-// what a caller of a dead host sees.
-func (w *world) send(args []string) string {
+// send returns "answered", or the outcome with Ran, or "broken" if the
+// connection failed, as it does with a dead host.
+func (w *scriptState) send(args []string) string {
 	id := ""
 	if len(args) > 4 {
 		id = args[4]
@@ -158,7 +159,7 @@
 }
 
 func await(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
+	w := stateOf(ts)
 	r := regexp.MustCompile(args[0])
 	var o string
 	defer func() { ts.Logf("last: %s", o) }()
@@ -169,7 +170,7 @@
 		case "operate":
 			_, o = w.operate(args[2:])
 		default:
-			ts.Fatalf("await: no command %s", args[1])
+			ts.Fatalf("await: unsupported command %s", args[1])
 		}
 		return r.MatchString(o)
 	}))
@@ -178,53 +179,53 @@
 func runs(ts *testscript.TestScript, _ bool, args []string) {
 	n, err := strconv.Atoi(args[1])
 	ts.Check(err)
-	if r := of(ts).fleet.Runs()[args[0]]; r != n {
-		ts.Fatalf("id %s was run %d times, not %d", args[0], r, n)
+	if r := stateOf(ts).fleet.Runs()[args[0]]; r != n {
+		ts.Fatalf("id %s ran %d times, want %d", args[0], r, n)
 	}
 }
 
-// links makes a command of a function of two places.
-func links(f func(w *world, a, b string)) func(*testscript.TestScript, bool, []string) {
+// linkCommand returns a script command that calls f with two labels.
+func linkCommand(f func(w *scriptState, a, b string)) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, _ bool, args []string) {
-		f(of(ts), args[0], args[1])
+		f(stateOf(ts), args[0], args[1])
 	}
 }
 
-// hosts makes a command of a function of one host.
-func hosts(f func(w *world, host string) error) func(*testscript.TestScript, bool, []string) {
+// hostCommand returns a script command that calls f for each host.
+func hostCommand(f func(w *scriptState, host string) error) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, _ bool, args []string) {
 		for _, h := range args {
-			ts.Check(f(of(ts), h))
+			ts.Check(f(stateOf(ts), h))
 		}
 	}
 }
 
-func down(ts *testscript.TestScript, _ bool, args []string) {
+func stopBackends(ts *testscript.TestScript, _ bool, args []string) {
 	for _, b := range args {
-		ts.Check(of(ts).fleet.StopBackend(b))
+		ts.Check(stateOf(ts).fleet.StopBackend(b))
 	}
 }
 
-func store(ts *testscript.TestScript, _ bool, args []string) {
+func setStoreFault(ts *testscript.TestScript, _ bool, args []string) {
 	k := map[string]knobs.Knobs{
 		"ok": {}, "out": {Outage: true}, "slow": {Delay: 3 * time.Second}, "lose": {LoseAnswers: 1},
 	}
 	v, ok := k[args[0]]
 	if !ok {
-		ts.Fatalf("store: %s is none of ok, out, slow, lose", args[0])
+		ts.Fatalf("store: unknown state %s, want ok, out, slow or lose", args[0])
 	}
-	of(ts).fleet.Platform.Set(v)
+	stateOf(ts).fleet.Platform.Set(v)
 }
 
 func operate(ts *testscript.TestScript, neg bool, args []string) {
-	c, o := of(ts).operate(args)
+	c, o := stateOf(ts).operate(args)
 	fmt.Fprintf(ts.Stdout(), "%s", o)
 	if (c != 0) != neg {
 		ts.Fatalf("exit code %d: %s", c, o)
 	}
 }
 
-func (w *world) operate(args []string) (int, string) {
+func (w *scriptState) operate(args []string) (int, string) {
 	var b bytes.Buffer
 	m := &cmd.Cmd{Out: &b, Err: &b, Clock: w.fleet.Clock, Getenv: func(n string) string {
 		switch n {
@@ -240,25 +241,26 @@
 	return c, b.String()
 }
 
-// flip switches between the presets beside the commands that follow.
-func flip(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
+// startPresetFlips switches between the presets while the following commands
+// run.
+func startPresetFlips(ts *testscript.TestScript, _ bool, args []string) {
+	w := stateOf(ts)
 	n, err := strconv.Atoi(args[1])
 	ts.Check(err)
-	w.flips = make(chan error, 1)
+	w.flipResult = make(chan error, 1)
 	go func() {
 		for i := range n {
 			p := []string{"Peak", "Ordinary"}[i%2]
 			if c, o := w.operate([]string{args[0], "preset", "use", "-wait", p}); c != 0 {
-				w.flips <- fmt.Errorf("preset %s: exit code %d: %s", p, c, o)
+				w.flipResult <- fmt.Errorf("preset %s: exit code %d: %s", p, c, o)
 				return
 			}
 			<-w.fleet.Clock.After(hold)
 		}
-		w.flips <- nil
+		w.flipResult <- nil
 	}()
 }
 
-func flipped(ts *testscript.TestScript, _ bool, _ []string) {
-	ts.Check(<-of(ts).flips)
+func waitForPresetFlips(ts *testscript.TestScript, _ bool, _ []string) {
+	ts.Check(<-stateOf(ts).flipResult)
 }
