--- a/processes/freeze_test.go
+++ b/processes/freeze_test.go
@@ -14,14 +14,15 @@
 	"celeryreach.example/celeryreach/status"
 )
 
-const senders = 8
+const sendersPerHost = 8
 
-// flood sends through the hosts for a time, as fast as they answer.
-func (d *deployment) flood(t time.Duration, hosts ...string) {
+// sendContinuously sends requests through the hosts for the given time, as fast
+// as they answer.
+func (d *deployment) sendContinuously(t time.Duration, hosts ...string) {
 	e := clock.Now().Add(t)
 	c := make(chan struct{})
 	for _, h := range hosts {
-		for range senders {
+		for range sendersPerHost {
 			go func() {
 				defer func() { c <- struct{}{} }()
 				for clock.Now().Before(e) {
@@ -30,18 +31,19 @@
 			}()
 		}
 	}
-	for range len(hosts) * senders {
+	for range len(hosts) * sendersPerHost {
 		<-c
 	}
 }
 
-// richest returns the host with the greatest leased part: an account that is
-// quiet belongs to one host as a whole, and to another in each run.
-func (d *deployment) richest() string {
+// hostWithLargestLease returns the host with the largest leased share. The
+// whole leased share of an account without traffic belongs to one host, which
+// differs between runs.
+func (d *deployment) hostWithLargestLease() string {
 	var r string
 	m := -1.0
 	for h := range d.hosts {
-		for _, s := range d.state(h).Shares {
+		for _, s := range d.hostStatus(h).Shares {
 			if s.Leased > m {
 				r = h
 				m = s.Leased
@@ -51,40 +53,42 @@
 	return r
 }
 
-func (d *deployment) state(host string) status.Status {
-	_, b := d.get(http.MethodGet, "http://"+d.hosts[host].operator+"/status", d.operator, "")
+func (d *deployment) hostStatus(host string) status.Status {
+	_, b := d.do(http.MethodGet, "http://"+d.hosts[host].operatorAddress+"/status", d.operatorKey, "")
 	var v status.Status
 	must.NoError(d.t, codec.Unmarshal([]byte(b), &v))
 	return v
 }
 
-// crowd is how many requests are sent to each host at once: more than all tokens.
-const crowd = 220
+// requestsPerHost is how many requests are sent to each host at once. It
+// exceeds the account's burst.
+const requestsPerHost = 220
 
-// A host is frozen with its bucket full. The others take its leased part and fill
-// theirs up in the quiet, and then callers come to all hosts at once, to the frozen
-// one too. It wakes with the callers already waiting in its sockets, beside its
-// peers' heartbeats: together the hosts run no more than burst and rate allow for
-// the time it takes, whichever of the two it reads first.
+// A host is frozen with SIGSTOP while its token bucket is full. The other hosts
+// take over its leased share and fill their buckets. Then callers send requests
+// to all hosts at once, including the frozen one. When it resumes, it finds
+// those requests in its sockets next to its peers' heartbeats. Whichever it
+// reads first, the hosts together must not run more requests than burst and
+// rate allow in the elapsed time.
 func TestFrozenHost(t *testing.T) {
 	d := deploy(t)
-	<-clock.After(burst / rate * time.Second) // all buckets are full
-	h := d.richest()
+	<-clock.After(burst / rate * time.Second) // until all buckets are full
+	h := d.hostWithLargestLease()
 	d.signal(h, syscall.SIGSTOP)
-	d.await("the others' parts", func() bool {
+	d.await("the other hosts to drop the frozen host", func() bool {
 		for o := range d.hosts {
-			if o != h && len(d.state(o).Peers) != 1 {
+			if o != h && len(d.hostStatus(o).Peers) != 1 {
 				return false
 			}
 		}
 		return true
 	})
-	<-clock.After((hold + 2*burst/rate*time.Second)) // the parts are filled up
-	o := d.total()
+	<-clock.After((hold + 2*burst/rate*time.Second)) // until the share has been taken over and the buckets are full
+	o := d.totalRuns()
 	s := clock.Now()
 	c := make(chan int)
 	for v := range d.hosts {
-		for range crowd {
+		for range requestsPerHost {
 			go func() {
 				k, _ := d.send(v, http.MethodGet, "/listings/1", "")
 				c <- k
@@ -93,11 +97,11 @@
 	}
 	<-clock.After(hold / 10)
 	d.signal(h, syscall.SIGCONT)
-	for range 3 * crowd {
+	for range 3 * requestsPerHost {
 		<-c
 	}
 	m := burst + rate*clock.Since(s).Seconds()
-	n := d.total() - o
+	n := d.totalRuns() - o
 	t.Logf("%d run, %.0f allowed", n, m)
 	must.LessEq(t, m, float64(n))
 	must.Greater(t, burst/2, n)
@@ -107,9 +111,9 @@
 	})
 }
 
-// A host is killed with deposits under way, and a replacement takes its name. The
-// callers ask again for each deposit, here and elsewhere, until they know how it
-// ended: none runs twice, and each one that is answered has run.
+// A host is killed while it runs deposits, and a replacement takes its name.
+// The callers retry each deposit at another host until they know its outcome.
+// No deposit may run twice, and each answered deposit must have run.
 func TestKilledHost(t *testing.T) {
 	d := deploy(t)
 	const deposits = 24
@@ -126,11 +130,11 @@
 	for range deposits - 1 {
 		<-c
 	}
-	d.start("l2")
+	d.startHost("l2")
 	for i := range deposits {
 		id := fmt.Sprint("child-", i)
 		a := ""
-		d.await("the end of "+id, func() bool {
+		d.await("the outcome of "+id, func() bool {
 			k, b := d.send("l1", http.MethodPost, "/listings/deposit", id)
 			a = b
 			return k == http.StatusOK || strings.Contains(b, `"Ran":"unknown"`) && strings.Contains(b, "OutcomeUnknown")
@@ -141,20 +145,20 @@
 			must.EqOp(t, 1, n, must.Sprint(id))
 		}
 	}
-	d.await("answers of the replacement", func() bool {
+	d.await("answers from the replacement", func() bool {
 		k, _ := d.send("l2", http.MethodGet, "/listings/1", "")
 		return k == http.StatusOK
 	})
 }
 
-// A host is asked to end while callers send: it ends by itself with exit code 0,
-// and callers of the other hosts see nothing of it.
+// A host receives SIGTERM while callers send requests. It must end by itself
+// with exit code 0, and callers of the other hosts must not be affected.
 func TestTerminatedHost(t *testing.T) {
 	d := deploy(t)
 	c := make(chan struct{})
 	go func() {
 		defer close(c)
-		d.flood(hold, "l1")
+		d.sendContinuously(hold, "l1")
 	}()
 	d.signal("l2", syscall.SIGTERM)
 	must.NoError(t, d.hosts["l2"].command.Wait())
--- a/processes/processes_test.go
+++ b/processes/processes_test.go
@@ -1,6 +1,6 @@
-// Package processes_test plays failures that only processes have: SIGKILL, and
-// SIGSTOP in the middle of work. Everything runs as the commands that operators
-// run.
+// Package processes_test tests failures that need separate processes: SIGKILL
+// and SIGSTOP in the middle of work. All components run as the commands that
+// operators use.
 package processes_test
 
 import (
@@ -27,64 +27,64 @@
 )
 
 const (
-	patience = 90 * time.Second // of a test; only a hang uses it up
-	rate     = 100
-	burst    = 200
-	hold     = time.Second
+	testTimeout = 90 * time.Second // limit of a test, reached only if it hangs
+	rate        = 100
+	burst       = 200
+	hold        = time.Second
 )
 
 var clock = clockwork.NewRealClock()
 
-// deployment is a platform stand-in, three hosts in three failure domains and a
-// backend server in each, all as processes.
+// deployment is a platform stand-in, and a host and a backend server in each of
+// three failure domains, all as separate processes.
 type deployment struct {
-	t        *testing.T
-	ctx      context.Context
-	dir      string
-	binary   string
-	platform string
-	operator string
-	key      string
-	backends map[string]string
-	hosts    map[string]*host
+	t           *testing.T
+	ctx         context.Context
+	dir         string
+	binary      string
+	platformURL string
+	operatorKey string
+	callerKey   string
+	backends    map[string]string
+	hosts       map[string]*host
 }
 
 type host struct {
-	command  *exec.Cmd
-	file     string
-	callers  string
-	operator string
+	command         *exec.Cmd
+	settingsFile    string
+	callerAddress   string
+	operatorAddress string
 }
 
 var domains = [][2]string{{"l1", "lagos"}, {"l2", "lagos"}, {"a1", "abuja"}}
 
 func deploy(t *testing.T) *deployment {
-	x, f := context.WithTimeout(context.Background(), patience)
+	x, f := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(f)
 	d := &deployment{t: t, ctx: x, dir: t.TempDir(), backends: make(map[string]string), hosts: make(map[string]*host)}
 	d.binary = filepath.Join(d.dir, "celeryreach")
 	o, err := exec.CommandContext(x, "go", "build", "-o", d.binary, "..").CombinedOutput()
 	must.NoError(t, err, must.Sprint(string(o)))
-	d.platform = "http://" + d.listening("platform", "--listen", "127.0.0.1:0")
+	d.platformURL = "http://" + d.startStandin("platform", "--listen", "127.0.0.1:0")
 	for _, v := range domains {
-		d.backends[v[0]] = d.listening("backend", "--listen", "127.0.0.1:0", "--name", v[0], "--work", "2ms")
+		d.backends[v[0]] = d.startStandin("backend", "--listen", "127.0.0.1:0", "--name", v[0], "--work", "2ms")
 	}
-	o = d.run("config", "init", "--platform", d.platform, d.write("config.hujson", d.config()))
-	d.operator = regexp.MustCompile(`[A-Z2-7]{26}`).FindString(string(o))
-	must.NotEq(t, "", d.operator, must.Sprint(string(o)))
+	o = d.runCommand("config", "init", "--platform", d.platformURL, d.writeFile("config.hujson", d.configText()))
+	d.operatorKey = regexp.MustCompile(`[A-Z2-7]{26}`).FindString(string(o))
+	must.NotEq(t, "", d.operatorKey, must.Sprint(string(o)))
 	for _, v := range domains {
-		d.add(v[0], v[1])
+		d.addHost(v[0], v[1])
 	}
-	d.await("hosts", func() bool { return d.status("l1") == http.StatusOK })
-	o = d.run("key", "issue", "--operator", "http://"+d.hosts["l1"].operator, "--wait", "river")
-	d.key = regexp.MustCompile(`[A-Z2-7]{26}`).FindString(string(o))
+	d.await("hosts", func() bool { return d.statusCode("l1") == http.StatusOK })
+	o = d.runCommand("key", "issue", "--operator", "http://"+d.hosts["l1"].operatorAddress, "--wait", "river")
+	d.callerKey = regexp.MustCompile(`[A-Z2-7]{26}`).FindString(string(o))
 	for h := range d.hosts {
-		d.await("answers of "+h, func() bool { c, _ := d.send(h, http.MethodGet, "/listings/1", ""); return c == http.StatusOK })
+		d.await("answers from "+h, func() bool { c, _ := d.send(h, http.MethodGet, "/listings/1", ""); return c == http.StatusOK })
 	}
 	return d
 }
 
-func (d *deployment) config() string {
+func (d *deployment) configText() string {
 	var b strings.Builder
 	for _, v := range domains {
 		fmt.Fprintf(&b, `{"Name": %q, "Domain": %q, "Service": "Listings", "Address": %q, "Slots": 4, "Connections": 100},`, v[0], v[0], d.backends[v[0]])
@@ -101,19 +101,19 @@
 	}`, b.String(), rate, burst)
 }
 
-// add starts a host on addresses that are kept for it.
-func (d *deployment) add(name, region string) {
-	h := &host{callers: d.free(), operator: d.free()}
-	h.file = d.write(name+".hujson", fmt.Sprintf(
+// addHost reserves addresses for a host and starts it.
+func (d *deployment) addHost(name, region string) {
+	h := &host{callerAddress: d.reserveAddress(), operatorAddress: d.reserveAddress()}
+	h.settingsFile = d.writeFile(name+".hujson", fmt.Sprintf(
 		`{"Name": %q, "Domain": %q, "Region": %q, "CallerAddress": %q, "PeerAddress": %q, "OperatorAddress": %q, "PlatformURL": %q, "Hold": %q, "Heartbeat": "100ms"}`,
-		name, name, region, h.callers, d.free(), h.operator, d.platform, hold))
+		name, name, region, h.callerAddress, d.reserveAddress(), h.operatorAddress, d.platformURL, hold))
 	d.hosts[name] = h
-	d.start(name)
+	d.startHost(name)
 }
 
-func (d *deployment) start(name string) {
+func (d *deployment) startHost(name string) {
 	h := d.hosts[name]
-	h.command = exec.CommandContext(d.ctx, d.binary, "serve", "--settings", h.file)
+	h.command = exec.CommandContext(d.ctx, d.binary, "serve", "--settings", h.settingsFile)
 	must.NoError(d.t, h.command.Start())
 	c := h.command
 	d.t.Cleanup(func() { _ = c.Process.Kill(); _ = c.Wait() })
@@ -123,8 +123,9 @@
 	must.NoError(d.t, d.hosts[name].command.Process.Signal(s))
 }
 
-// listening starts a stand-in and returns the address that its log tells.
-func (d *deployment) listening(args ...string) string {
+// startStandin starts a stand-in and returns the address from its first log
+// line.
+func (d *deployment) startStandin(args ...string) string {
 	c := exec.CommandContext(d.ctx, d.binary, args...)
 	e, err := c.StderrPipe()
 	must.NoError(d.t, err)
@@ -138,23 +139,24 @@
 	return m[1]
 }
 
-func (d *deployment) run(args ...string) []byte {
+func (d *deployment) runCommand(args ...string) []byte {
 	c := exec.CommandContext(d.ctx, d.binary, args...)
-	c.Env = append(os.Environ(), "CELERYREACH_OPERATOR_KEY="+d.operator)
+	c.Env = append(os.Environ(), "CELERYREACH_OPERATOR_KEY="+d.operatorKey)
 	var b bytes.Buffer
 	c.Stdout, c.Stderr = &b, &b
 	must.NoError(d.t, c.Run(), must.Sprint(b.String()))
 	return b.Bytes()
 }
 
-func (d *deployment) write(name, text string) string {
+func (d *deployment) writeFile(name, text string) string {
 	p := filepath.Join(d.dir, name)
 	must.NoError(d.t, os.WriteFile(p, []byte(text), 0o600))
 	return p
 }
 
-// free draws an address and keeps it for the host's processes.
-func (d *deployment) free() string {
+// reserveAddress reserves a free address for a host, also while its process is
+// not running.
+func (d *deployment) reserveAddress() string {
 	r, err := reservation.New()
 	must.NoError(d.t, err)
 	d.t.Cleanup(r.Release)
@@ -171,17 +173,18 @@
 	}
 }
 
-func (d *deployment) status(name string) int {
-	c, _ := d.get(http.MethodGet, "http://"+d.hosts[name].operator+"/status", d.operator, "")
+func (d *deployment) statusCode(name string) int {
+	c, _ := d.do(http.MethodGet, "http://"+d.hosts[name].operatorAddress+"/status", d.operatorKey, "")
 	return c
 }
 
 func (d *deployment) send(name, method, path, id string) (int, string) {
-	return d.get(method, "http://"+d.hosts[name].callers+path, d.key, id)
+	return d.do(method, "http://"+d.hosts[name].callerAddress+path, d.callerKey, id)
 }
 
-// get returns status zero when the connection broke or nobody answered.
-func (d *deployment) get(method, url, key, id string) (int, string) {
+// do sends a request and returns the status code and body. The status code is
+// zero if the connection failed or there was no response in time.
+func (d *deployment) do(method, url, key, id string) (int, string) {
 	x, f := context.WithTimeout(d.ctx, 2*time.Second)
 	defer f()
 	q, err := http.NewRequestWithContext(x, method, url, strings.NewReader(id))
@@ -203,11 +206,11 @@
 	return r.StatusCode, string(b)
 }
 
-// runs returns how often each id was run, over all backend servers.
+// runs returns how often each id was run, summed over all backend servers.
 func (d *deployment) runs() map[string]int {
 	r := make(map[string]int)
 	for _, a := range d.backends {
-		_, b := d.get(http.MethodGet, "http://"+a+"/runs", "", "")
+		_, b := d.do(http.MethodGet, "http://"+a+"/runs", "", "")
 		var v map[string]int
 		must.NoError(d.t, codec.Unmarshal([]byte(b), &v))
 		for k, n := range v {
@@ -217,7 +220,7 @@
 	return r
 }
 
-func (d *deployment) total() int {
+func (d *deployment) totalRuns() int {
 	n := 0
 	for _, v := range d.runs() {
 		n += v
--- a/stress/caller.go
+++ b/stress/caller.go
@@ -18,36 +18,37 @@
 )
 
 const (
-	leaveFraction  = 0.6
-	leaveWithin    = 8 * time.Millisecond
-	postFraction   = 0.4
-	idFraction     = 0.8
-	ticketFraction = 0.2
-	maxAttempts    = 3
-	patience       = 10 * time.Second
-	refusedPause   = 20 * time.Millisecond
+	cancelFraction    = 0.6
+	maxCancelDelay    = 8 * time.Millisecond
+	postFraction      = 0.4
+	idFraction        = 0.8
+	ticketFraction    = 0.2
+	maxAttempts       = 3
+	attemptTimeout    = 10 * time.Second
+	pauseAfterRefusal = 20 * time.Millisecond
 )
 
-// order is one request of a caller, with all of its attempts.
-type order struct {
+// callerRequest is one request of a caller. It may take several attempts.
+type callerRequest struct {
 	name, method, target, body, id, digest string
-	// host alone runs the order's ticket; empty if it has none.
-	host string
+	// ticketHost is the only host that runs a request with this ticket; empty
+	// if the request has no ticket.
+	ticketHost string
 }
 
-// call sends requests until all have been sent.
-func (s *Stress) call(ctx context.Context, n int, done chan<- struct{}) {
+// runCaller sends requests until the callers together have sent s.Requests.
+func (s *Stress) runCaller(ctx context.Context, n int, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	t := new(http.Transport)
 	defer t.CloseIdleConnections()
 	r := rand.New(rand.NewPCG(s.Seed, uint64(n)))
-	for ctx.Err() == nil && s.next.Add(1) <= int64(s.Requests) {
-		s.serve(ctx, t, r, s.order(ctx, t, r))
+	for ctx.Err() == nil && s.started.Add(1) <= int64(s.Requests) {
+		s.sendWithRetries(ctx, t, r, s.newRequest(ctx, t, r))
 	}
 }
 
-func (s *Stress) order(ctx context.Context, t *http.Transport, r *rand.Rand) order {
-	o := order{name: fmt.Sprintf("%016x", r.Uint64()), method: http.MethodGet}
+func (s *Stress) newRequest(ctx context.Context, t *http.Transport, r *rand.Rand) callerRequest {
+	o := callerRequest{name: fmt.Sprintf("%016x", r.Uint64()), method: http.MethodGet}
 	o.target = "/listings/" + o.name
 	if r.Float64() < postFraction {
 		o.method = http.MethodPost
@@ -57,7 +58,7 @@
 			o.id = "id-" + o.name
 		}
 		if r.Float64() < ticketFraction {
-			o.id, o.host = s.ticket(ctx, t, r)
+			o.id, o.ticketHost = s.fetchTicket(ctx, t, r)
 		}
 	}
 	h := sha256.Sum256([]byte(o.body))
@@ -65,17 +66,18 @@
 	return o
 }
 
-// serve sends a request, and an unanswered one with an id again.
-func (s *Stress) serve(ctx context.Context, t *http.Transport, r *rand.Rand, o order) {
+// sendWithRetries sends a request. A request with an idempotency key is retried
+// until it is answered or maxAttempts is reached.
+func (s *Stress) sendWithRetries(ctx context.Context, t *http.Transport, r *rand.Rand, o callerRequest) {
 	for a := range maxAttempts {
 		i := fmt.Sprintf("%s-%d", o.name, a)
 		e, c := s.attempt(ctx, t, r, o, i)
 		c.id = i
 		c.request = o.name
-		c.once = o.method == http.MethodPost
-		s.judge.add(c, e)
-		if c.ran == outcome.RanNo {
-			s.pause(ctx, refusedPause)
+		c.atMostOnce = o.method == http.MethodPost
+		s.checker.add(c, e)
+		if c.reportedRan == outcome.RanNo {
+			s.pause(ctx, pauseAfterRefusal)
 		}
 		if e == outcome.Answered || o.id == "" {
 			return
@@ -83,20 +85,20 @@
 	}
 }
 
-func (s *Stress) attempt(ctx context.Context, t *http.Transport, r *rand.Rand, o order, id string) (string, claim) {
-	w := patience
-	if r.Float64() < leaveFraction {
-		w = time.Duration(r.Int64N(int64(leaveWithin)))
+func (s *Stress) attempt(ctx context.Context, t *http.Transport, r *rand.Rand, o callerRequest, id string) (string, attemptResult) {
+	w := attemptTimeout
+	if r.Float64() < cancelFraction {
+		w = time.Duration(r.Int64N(int64(maxCancelDelay)))
 	}
 	x, f := context.WithTimeout(ctx, w)
 	defer f()
-	h := s.host(r)
-	if o.host != "" {
-		h = o.host
+	h := s.randomHost(r)
+	if o.ticketHost != "" {
+		h = o.ticketHost
 	}
 	q, err := http.NewRequestWithContext(x, o.method, "http://"+h+o.target, strings.NewReader(o.body))
 	if err != nil {
-		return "BadRequest", claim{}
+		return "BadRequest", attemptResult{}
 	}
 	q.Header.Set("Authorization", "Bearer "+s.fleet.Keys[accountName])
 	q.Header.Set(backendstandin.JudgeHeader, id)
@@ -105,41 +107,43 @@
 	}
 	p, err := t.RoundTrip(q)
 	if err != nil {
-		return s.broken(x, "NoAnswer"), claim{}
+		return s.transportFailure(x, "NoAnswer"), attemptResult{}
 	}
 	defer p.Body.Close()
 	b, err := io.ReadAll(p.Body)
 	if err != nil {
-		return s.broken(x, "BrokenAnswer"), claim{}
+		return s.transportFailure(x, "BrokenAnswer"), attemptResult{}
 	}
 	if p.StatusCode == http.StatusOK {
-		return outcome.Answered, claim{ran: outcome.RanYes, fault: whole(string(b), o.method, o.target, o.digest)}
+		return outcome.Answered, attemptResult{reportedRan: outcome.RanYes, responseError: checkResponse(string(b), o.method, o.target, o.digest)}
 	}
 	var v outcome.Outcome
 	if err := codec.Unmarshal(b, &v); err != nil {
-		return "Unreadable", claim{fault: fmt.Sprintf("status %d with an answer that is no outcome: %.200q", p.StatusCode, b)}
+		return "Unreadable", attemptResult{responseError: fmt.Sprintf("status %d with a body that is not an outcome: %.200q", p.StatusCode, b)}
 	}
-	return v.Outcome + "-" + v.Ran, claim{ran: v.Ran}
+	return v.Outcome + "-" + v.Ran, attemptResult{reportedRan: v.Ran}
 }
 
-func (s *Stress) broken(ctx context.Context, how string) string {
+func (s *Stress) transportFailure(ctx context.Context, how string) string {
 	if ctx.Err() != nil {
 		return outcome.Left
 	}
 	return how
 }
 
-// host draws an entry host, running or not: callers' look-ups lag.
-func (s *Stress) host(r *rand.Rand) string {
+// randomHost returns the caller address of any host, running or not, because
+// callers may use outdated look-ups.
+func (s *Stress) randomHost(r *rand.Rand) string {
 	h := s.fleet.Hosts()
 	return s.fleet.Settings(h[r.IntN(len(h))]).CallerAddress
 }
 
-// ticket asks a host for a ticket, and is content without one.
-func (s *Stress) ticket(ctx context.Context, t *http.Transport, r *rand.Rand) (id, host string) {
+// fetchTicket requests a ticket from a random host. On any failure it returns
+// empty strings.
+func (s *Stress) fetchTicket(ctx context.Context, t *http.Transport, r *rand.Rand) (id, host string) {
 	x, f := context.WithTimeout(ctx, time.Second)
 	defer f()
-	q, err := http.NewRequestWithContext(x, http.MethodGet, "http://"+s.host(r)+"/tickets", nil)
+	q, err := http.NewRequestWithContext(x, http.MethodGet, "http://"+s.randomHost(r)+"/tickets", nil)
 	if err != nil {
 		return "", ""
 	}
--- a/stress/faults.go
+++ b/stress/faults.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	faultEvery = 150 * time.Millisecond
-	faultFor   = 400 * time.Millisecond
-	loseMost   = 20
-	slowStore  = 100 * time.Millisecond
-	faultFirst = 8
+	meanFaultInterval = 150 * time.Millisecond
+	faultDuration     = 400 * time.Millisecond
+	maxLostAnswers    = 20
+	storeDelay        = 100 * time.Millisecond
+	maxFaultyRequests = 8
 )
 
-// disturb draws faults until ctx ends, and undoes the last one.
-func (s *Stress) disturb(ctx context.Context, done chan<- error) {
+// injectFaults injects random faults until ctx ends. Store faults and
+// partitions are over when it returns.
+func (s *Stress) injectFaults(ctx context.Context, done chan<- error) {
 	r := rand.New(rand.NewPCG(s.Seed, ^uint64(0)))
-	s.faults = make(map[string]int)
+	s.faultCounts = make(map[string]int)
 	for ctx.Err() == nil {
-		s.pause(ctx, time.Duration(r.Int64N(int64(2*faultEvery))))
+		s.pause(ctx, time.Duration(r.Int64N(int64(2*meanFaultInterval))))
 		n := r.IntN(8)
 		switch {
 		case n < 4:
-			s.backendFault(r)
+			s.injectBackendFault(r)
 		case n < 6:
-			s.storeFault(ctx, r)
+			s.injectStoreFault(ctx, r)
 		case n < 7:
-			if err := s.hostFault(r); err != nil {
+			if err := s.restartRandomHost(r); err != nil {
 				done <- err
 				return
 			}
 		default:
-			s.linkFault(ctx, r)
+			s.injectPartition(ctx, r)
 		}
 	}
 	done <- nil
@@ -48,8 +49,8 @@
 	}
 }
 
-func (s *Stress) backendFault(r *rand.Rand) {
-	b := s.backends()
+func (s *Stress) injectBackendFault(r *rand.Rand) {
+	b := s.backendNames()
 	i := r.IntN(len(b))
 	f := []struct {
 		name  string
@@ -65,38 +66,38 @@
 		{"backend-shed", backendknobs.Backendknobs{Shed: true}},
 	}
 	v := f[r.IntN(len(f))]
-	v.knobs.First = 1 + r.IntN(faultFirst)
-	if i%largeEvery == 0 {
-		v.knobs.Bytes = largeAnswer
+	v.knobs.First = 1 + r.IntN(maxFaultyRequests)
+	if i%largeAnswerInterval == 0 {
+		v.knobs.Bytes = largeAnswerBytes
 	}
 	s.fleet.Backend(b[i]).Set(v.knobs)
-	s.faults[v.name]++
+	s.faultCounts[v.name]++
 }
 
-func (s *Stress) storeFault(ctx context.Context, r *rand.Rand) {
+func (s *Stress) injectStoreFault(ctx context.Context, r *rand.Rand) {
 	f := []struct {
 		name  string
 		knobs knobs.Knobs
 	}{
 		{"store-out", knobs.Knobs{Outage: true}},
-		{"store-slow", knobs.Knobs{Delay: slowStore}},
-		{"store-loses-answers", knobs.Knobs{LoseAnswers: 1 + r.IntN(loseMost)}},
+		{"store-slow", knobs.Knobs{Delay: storeDelay}},
+		{"store-loses-answers", knobs.Knobs{LoseAnswers: 1 + r.IntN(maxLostAnswers)}},
 	}
 	v := f[r.IntN(len(f))]
 	s.fleet.Platform.Set(v.knobs)
-	s.faults[v.name]++
-	s.pause(ctx, faultFor)
+	s.faultCounts[v.name]++
+	s.pause(ctx, faultDuration)
 	s.fleet.Platform.Set(knobs.Knobs{})
 }
 
-func (s *Stress) hostFault(r *rand.Rand) error {
+func (s *Stress) restartRandomHost(r *rand.Rand) error {
 	h := s.fleet.Hosts()
 	n := h[r.IntN(len(h))]
 	if r.IntN(2) == 0 {
-		s.faults["host-killed"]++
+		s.faultCounts["host-killed"]++
 		s.fleet.KillHost(n)
 	} else {
-		s.faults["host-shut-down"]++
+		s.faultCounts["host-shut-down"]++
 		if err := s.fleet.StopHost(n); err != nil {
 			return err
 		}
@@ -105,12 +106,12 @@
 	return nil
 }
 
-func (s *Stress) linkFault(ctx context.Context, r *rand.Rand) {
+func (s *Stress) injectPartition(ctx context.Context, r *rand.Rand) {
 	d := s.fleet.Config.Domains
 	i := r.IntN(len(d))
 	a, b := d[i].Name, d[(i+1)%len(d)].Name
-	s.faults["domains-cut"]++
+	s.faultCounts["domains-cut"]++
 	s.fleet.Cut(a, b)
-	s.pause(ctx, faultFor)
+	s.pause(ctx, faultDuration)
 	s.fleet.Heal(a, b)
 }
--- a/stress/judge.go
+++ b/stress/judge.go
@@ -8,44 +8,46 @@
 	"celeryreach.example/celeryreach/outcome"
 )
 
-// claim is what one attempt of a caller ended with.
-type claim struct {
-	id      string // of the attempt, as the backend server sees it
-	request string // the same for all attempts of one request
-	once    bool   // it must not run twice
-	ran     string // what the caller was told
-	fault   string // what was wrong with the answer itself
+// attemptResult is the result of one attempt as its caller sees it.
+type attemptResult struct {
+	id            string // identifies the attempt in the records of the backend servers
+	request       string // name of the request, shared by all its attempts
+	atMostOnce    bool   // the request must not run twice
+	reportedRan   string // the value of Ran that the caller received; empty if none
+	responseError string // what is wrong with the response; empty if nothing
 }
 
-// judge collects the claims and the ends of all attempts.
-type judge struct {
-	mu     sync.Mutex
-	claims []claim
-	ends   map[string]int
+// checker collects the results of all attempts and checks them against the runs
+// that the backend servers recorded.
+type checker struct {
+	mu            sync.Mutex
+	results       []attemptResult
+	outcomeCounts map[string]int
 }
 
-func (j *judge) add(c claim, end string) {
+func (j *checker) add(c attemptResult, end string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.ends == nil {
-		j.ends = make(map[string]int)
+	if j.outcomeCounts == nil {
+		j.outcomeCounts = make(map[string]int)
 	}
-	j.ends[end]++
-	j.claims = append(j.claims, c)
+	j.outcomeCounts[end]++
+	j.results = append(j.results, c)
 }
 
-// verdict compares the claims with the runs of each attempt.
-func (j *judge) verdict(runs map[string]int) []string {
+// findViolations compares the results with the number of runs of each attempt
+// and returns a description of each violation.
+func (j *checker) findViolations(runs map[string]int) []string {
 	var r []string
 	n := make(map[string]int)
-	for _, c := range j.claims {
-		if c.fault != "" {
-			r = append(r, fmt.Sprintf("%s: %s", c.id, c.fault))
+	for _, c := range j.results {
+		if c.responseError != "" {
+			r = append(r, fmt.Sprintf("%s: %s", c.id, c.responseError))
 		}
-		if c.ran == outcome.RanNo && runs[c.id] > 0 {
-			r = append(r, fmt.Sprintf("%s was told \"not run\" and ran %d times", c.id, runs[c.id]))
+		if c.reportedRan == outcome.RanNo && runs[c.id] > 0 {
+			r = append(r, fmt.Sprintf("%s was reported as \"not run\" but ran %d times", c.id, runs[c.id]))
 		}
-		if c.once {
+		if c.atMostOnce {
 			n[c.request] += runs[c.id]
 		}
 	}
@@ -54,17 +56,17 @@
 			r = append(r, fmt.Sprintf("%s ran %d times", k, v))
 		}
 	}
-	for _, c := range j.claims {
-		if c.once && c.ran == outcome.RanYes && n[c.request] == 0 {
-			r = append(r, fmt.Sprintf("%s was answered and has not run", c.id))
+	for _, c := range j.results {
+		if c.atMostOnce && c.reportedRan == outcome.RanYes && n[c.request] == 0 {
+			r = append(r, fmt.Sprintf("%s was answered but did not run", c.id))
 		}
 	}
 	return r
 }
 
-// whole returns what is wrong with an answer: it names its request, and it
-// ends with a dot.
-func whole(b, method, target, digest string) string {
+// checkResponse returns what is wrong with a response, or an empty string. A
+// correct response names its request on the first line and ends with a dot.
+func checkResponse(b, method, target, digest string) string {
 	h, _, ok := strings.Cut(b, "\n")
 	w := fmt.Sprintf(" %s %s %s", method, target, digest)
 	if !ok || !strings.HasSuffix(h, w) {
--- a/stress/leave_test.go
+++ b/stress/leave_test.go
@@ -15,11 +15,11 @@
 	"celeryreach.example/celeryreach/settings"
 )
 
-// A camp director's enrolment runs when its entry host is shut down. The host
-// waits for it and ends without an error; before that, look-ups at the other
-// host stop naming it, and whoever still asks it is refused "not run" with
-// another host to try, or not let in.
-func TestShutdownCutsNoRequest(t *testing.T) {
+// A host is shut down while it runs a request. It must complete the request and
+// end without an error. Before it ends, look-ups at the other host must stop
+// returning it, and new requests to it must be refused as "not run" with the
+// other host as an alternative, or fail to connect.
+func TestShutdownCompletesRunningRequests(t *testing.T) {
 	c := newConfig()
 	c.Domains = c.Domains[:1]
 	f := &fleet.Fleet{
@@ -30,7 +30,7 @@
 	must.NoError(t, f.Start(t.Context()))
 	defer f.Stop() //nolint:errcheck // the shutdown under test has reported its own end
 	s := &Stress{Clock: f.Clock, fleet: f}
-	must.NoError(t, s.warm(t.Context()))
+	must.NoError(t, s.waitForAdmission(t.Context()))
 	h := f.Hosts()
 
 	type answer struct {
@@ -47,7 +47,7 @@
 	must.NoError(t, f.Await(t.Context(), "the enrolment to run", func() bool { return f.Runs()["enrolment-1"] == 1 }))
 	e := make(chan error, 1)
 	go func() { e <- f.StopHost(h[0]) }()
-	must.NoError(t, f.Await(t.Context(), "look-ups to forget the host", func() bool {
+	must.NoError(t, f.Await(t.Context(), "look-ups to omit the host", func() bool {
 		_, b, err := f.Send(t.Context(), h[1], accountName, http.MethodGet, "/lookup?account="+accountName+"&service=Enrolment", "")
 		return err == nil && !strings.Contains(b, f.Settings(h[0]).CallerAddress)
 	}))
--- a/stress/stress.go
+++ b/stress/stress.go
@@ -1,6 +1,6 @@
-// Package stress sends many requests through a whole deployment while faults
-// are drawn at random, and judges every answer against what the backend servers
-// ran.
+// Package stress sends many requests through a complete deployment while it
+// injects random faults, and checks every response against the requests that
+// the backend servers ran.
 package stress
 
 import (
@@ -28,52 +28,54 @@
 )
 
 const (
-	accountName   = "camp"
-	largeAnswer   = 100_000
-	largeEvery    = 5
-	plentiful     = 1_000_000
-	hostsEach     = 2
-	backendsEach  = 3
-	slotsEach     = 16
-	backendWork   = 5 * time.Millisecond
-	serviceTime   = 3 * time.Second
-	maxViolations = 20
-	warmTime      = 30 * time.Second
+	accountName         = "camp"
+	largeAnswerBytes    = 100_000
+	largeAnswerInterval = 5         // every fifth backend server sends large responses
+	ampleLimit          = 1_000_000 // rate and burst that the callers never reach
+	hostsPerDomain      = 2
+	backendsPerService  = 3
+	slotsPerBackend     = 16
+	backendWork         = 5 * time.Millisecond
+	serviceTimeout      = 3 * time.Second
+	maxViolations       = 20
+	admissionTimeout    = 30 * time.Second
 )
 
-// Stress is one run.
+// Stress is one run of the stress test.
 type Stress struct {
-	// Clock is the clock of all parts. Sockets are real, so it has to run.
+	// Clock is the clock of all components. It must advance in real time
+	// because the components communicate through real sockets.
 	Clock clockwork.Clock
-	// Log receives the events of all parts.
+	// Log receives the log lines of all components.
 	Log *log.Logger
 	// Out receives the report.
 	Out io.Writer
-	// Requests is the number of requests, repetitions not counted.
+	// Requests is the number of requests, not counting retries.
 	Requests int
-	// Callers is the number of callers at once.
+	// Callers is the number of concurrent callers.
 	Callers int
-	// Seed draws requests and faults. Sockets and goroutines keep their own
-	// timing, so a seed repeats the draws, not the interleaving.
+	// Seed seeds the random choice of requests and faults. The timing of
+	// sockets and goroutines is not controlled, so a seed reproduces the
+	// choices but not their interleaving.
 	Seed uint64
 
-	fleet  *fleet.Fleet
-	next   atomic.Int64
-	judge  judge
-	faults map[string]int
+	fleet       *fleet.Fleet
+	started     atomic.Int64
+	checker     checker
+	faultCounts map[string]int
 }
 
-// Run sends the requests and returns an error if a rule was broken.
+// Run sends the requests and returns an error if a violation was found.
 func (s *Stress) Run(ctx context.Context) error {
 	s.fleet = &fleet.Fleet{
-		Clock: s.Clock, Log: s.Log, Config: newConfig(), HostsPerDomain: hostsEach, BackendsPerService: backendsEach,
-		Slots: slotsEach, Work: backendWork,
+		Clock: s.Clock, Log: s.Log, Config: newConfig(), HostsPerDomain: hostsPerDomain, BackendsPerService: backendsPerService,
+		Slots: slotsPerBackend, Work: backendWork,
 	}
 	err := s.fleet.Start(ctx)
 	if err == nil {
-		s.enlarge()
-		if err = s.warm(ctx); err == nil {
-			err = s.play(ctx)
+		s.enableLargeAnswers()
+		if err = s.waitForAdmission(ctx); err == nil {
+			err = s.runCallersWithFaults(ctx)
 		}
 	}
 	e := s.fleet.Stop()
@@ -87,16 +89,17 @@
 	return err
 }
 
-// enlarge gives some backend servers answers that are passed on in pieces.
-func (s *Stress) enlarge() {
-	for i, b := range s.backends() {
-		if i%largeEvery == 0 {
-			s.fleet.Backend(b).Set(backendknobs.Backendknobs{Bytes: largeAnswer})
+// enableLargeAnswers makes some backend servers send responses that are large
+// enough for hosts to pass them on in chunks.
+func (s *Stress) enableLargeAnswers() {
+	for i, b := range s.backendNames() {
+		if i%largeAnswerInterval == 0 {
+			s.fleet.Backend(b).Set(backendknobs.Backendknobs{Bytes: largeAnswerBytes})
 		}
 	}
 }
 
-func (s *Stress) backends() []string {
+func (s *Stress) backendNames() []string {
 	r := make([]string, 0, len(s.fleet.Config.Backends))
 	for _, b := range s.fleet.Config.Backends {
 		r = append(r, b.Name)
@@ -104,9 +107,10 @@
 	return r
 }
 
-// warm waits until every host admits requests: hosts begin without tokens.
-func (s *Stress) warm(ctx context.Context) error {
-	x, f := context.WithTimeout(ctx, warmTime)
+// waitForAdmission waits until every host admits requests, because hosts start
+// without rate-limit tokens.
+func (s *Stress) waitForAdmission(ctx context.Context) error {
+	x, f := context.WithTimeout(ctx, admissionTimeout)
 	defer f()
 	return s.fleet.Await(x, "every host to admit requests", func() bool {
 		for _, h := range s.fleet.Hosts() {
@@ -119,15 +123,16 @@
 	})
 }
 
-// play runs the callers and the faults until all requests have been sent.
-func (s *Stress) play(ctx context.Context) error {
+// runCallersWithFaults runs the callers while faults are injected, until all
+// requests have been sent.
+func (s *Stress) runCallersWithFaults(ctx context.Context) error {
 	x, f := context.WithCancel(ctx)
 	defer f()
 	e := make(chan error, 1)
-	go s.disturb(x, e)
+	go s.injectFaults(x, e)
 	d := make(chan struct{})
 	for i := range s.Callers {
-		go s.call(ctx, i, d)
+		go s.runCaller(ctx, i, d)
 	}
 	for range s.Callers {
 		<-d
@@ -137,10 +142,10 @@
 }
 
 func (s *Stress) report() error {
-	v := s.judge.verdict(s.fleet.Runs())
-	fmt.Fprintf(s.Out, "seed %d: %d requests, %d attempts\n", s.Seed, s.Requests, len(s.judge.claims))
-	table(s.Out, "ended", s.judge.ends)
-	table(s.Out, "fault", s.faults)
+	v := s.checker.findViolations(s.fleet.Runs())
+	fmt.Fprintf(s.Out, "seed %d: %d requests, %d attempts\n", s.Seed, s.Requests, len(s.checker.results))
+	printCounts(s.Out, "ended", s.checker.outcomeCounts)
+	printCounts(s.Out, "fault", s.faultCounts)
 	for i, t := range v {
 		if i == maxViolations {
 			break
@@ -154,7 +159,7 @@
 	return nil
 }
 
-func table(w io.Writer, name string, m map[string]int) {
+func printCounts(w io.Writer, name string, m map[string]int) {
 	k := make([]string, 0, len(m))
 	for n := range m {
 		k = append(k, n)
@@ -175,10 +180,10 @@
 		Regions: []region.Region{{Name: "lagos"}, {Name: "abuja"}},
 		Domains: []domain.Domain{{Name: "lagos-1", Region: "lagos"}, {Name: "lagos-2", Region: "lagos"}, {Name: "abuja-1", Region: "abuja"}},
 		Services: []service.Service{
-			{Name: "Listings", Prefix: "/listings/", Timeout: serviceTime, AnswerBytes: 1000},
-			{Name: "Enrolment", Prefix: "/enrolments/", Timeout: serviceTime, AnswerBytes: 1000},
+			{Name: "Listings", Prefix: "/listings/", Timeout: serviceTimeout, AnswerBytes: 1000},
+			{Name: "Enrolment", Prefix: "/enrolments/", Timeout: serviceTimeout, AnswerBytes: 1000},
 		},
-		Accounts:     []account.Account{{Name: accountName, Rate: plentiful, Burst: plentiful}},
+		Accounts:     []account.Account{{Name: accountName, Rate: ampleLimit, Burst: ampleLimit}},
 		KeyStaleness: staleness.Staleness{Idempotent: time.Hour, NonIdempotent: time.Hour},
 	}
 }
--- a/stress/stress_test.go
+++ b/stress/stress_test.go
@@ -12,10 +12,11 @@
 	"celeryreach.example/celeryreach/stress"
 )
 
-// Callers leave in the middle of everything while backend servers die, the
-// store goes out and hosts are killed: nobody is charged twice, nobody who was
-// told "not run" is charged at all, and every answer is whole and its caller's
-// own. The long run is "celeryreach stress -requests 100000".
+// Callers cancel requests while backend servers fail, the store is unavailable
+// and hosts are killed. No non-idempotent request may run twice, no request
+// reported as "not run" may have run, and every response must be complete and
+// belong to its request. The command
+// "celeryreach stress -requests 100000" runs a longer version.
 func TestShortRun(t *testing.T) {
 	var b bytes.Buffer
 	s := &stress.Stress{
