--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -1,5 +1,6 @@
-// Package capacity measures the slopes behind the capacity page and works out
-// what each role costs at the target size.
+// Package capacity produces the tables of the capacity page. It measures how the
+// cost of each operation grows with size and computes from that what each role of
+// the system costs at the target size.
 package capacity
 
 import (
@@ -15,21 +16,22 @@
 	"celeryreach.example/celeryreach/target"
 )
 
-// Capacity prints the tables of the capacity page.
+// Capacity runs the measurements and prints the tables of the capacity page.
 type Capacity struct {
-	// Clock measures the probes.
+	// Clock times the measurements.
 	Clock clockwork.Clock
-	// Target is the size to work out.
+	// Target is the deployment size for which costs are computed.
 	Target target.Target
-	// Out receives the tables.
+	// Out receives the tables as Markdown.
 	Out io.Writer
-	// Short measures at small sizes only, for tests.
+	// Short reduces the measured sizes to a hundredth, for tests.
 	Short bool
 
-	slopes map[string]slope.Slope
+	slopes map[string]slope.Slope // by the name of the measured cost
 }
 
-// Run measures and prints both tables.
+// Run measures all costs, then prints the tables of measurements, roles and worst
+// cases.
 func (c *Capacity) Run(ctx context.Context) error {
 	p := c.measurements()
 	c.slopes = make(map[string]slope.Slope, len(p))
@@ -40,27 +42,27 @@
 			return ctx.Err()
 		}
 		c.slopes[p[i].Name] = p[i].Run()
-		c.line(&p[i])
+		c.printMeasurement(&p[i])
 	}
 	fmt.Fprintln(c.Out)
-	c.table(c.roles())
+	c.printRoles(c.roles())
 	fmt.Fprintln(c.Out)
-	c.badHours()
+	c.printWorstCases()
 	return nil
 }
 
-func (c *Capacity) line(p *measurement.Measurement) {
+func (c *Capacity) printMeasurement(p *measurement.Measurement) {
 	s := c.slopes[p.Name]
 	fmt.Fprintf(c.Out, "| %s | %s %s | %s %s | %.3g %s | %.3g %s/%s | %.3f |\n",
-		p.Name, list(p.Sizes), p.Per, floats(p.Costs()), p.Unit, s.Base, p.Unit, s.Each, p.Unit, p.Per, s.Fit)
+		p.Name, formatInts(p.Sizes), p.Per, formatFloats(p.Costs()), p.Unit, s.Base, p.Unit, s.Each, p.Unit, p.Per, s.Fit)
 }
 
-func (c *Capacity) table(r []role.Role) {
+func (c *Capacity) printRoles(r []role.Role) {
 	fmt.Fprintln(c.Out, "| role | memory a host | messages/s a host | bytes/s a host | table reads/s in all | table writes/s in all | core a host | carried by | today's code breaks on |")
 	fmt.Fprintln(c.Out, "|---|---|---|---|---|---|---|---|---|")
 	t := role.Role{Name: "**all**"}
 	for _, v := range r {
-		c.row(v)
+		c.printRole(v)
 		t.State += v.State
 		t.Messages += v.Messages
 		t.Traffic += v.Traffic
@@ -68,17 +70,17 @@
 		t.Writes += v.Writes
 		t.Core += v.Core
 	}
-	c.row(t)
+	c.printRole(t)
 	fmt.Fprintf(c.Out, "| budget | %s | | %s | %.0f | %.0f | %.2f%% | | |\n",
-		size(c.Target.Bytes), size(c.Target.Traffic), c.Target.StoreReads, c.Target.StoreWrites, 100*c.Target.Core)
+		formatBytes(c.Target.Bytes), formatBytes(c.Target.Traffic), c.Target.StoreReads, c.Target.StoreWrites, 100*c.Target.Core)
 }
 
-func (c *Capacity) row(r role.Role) {
+func (c *Capacity) printRole(r role.Role) {
 	fmt.Fprintf(c.Out, "| %s | %s | %.3g | %s | %.3g | %.3g | %.3f%% | %s | %s |\n",
-		r.Name, size(r.State), r.Messages, size(r.Traffic), r.Reads, r.Writes, 100*r.Core, r.Carries, r.Breaks)
+		r.Name, formatBytes(r.State), r.Messages, formatBytes(r.Traffic), r.Reads, r.Writes, 100*r.Core, r.Carries, r.Breaks)
 }
 
-func size(b float64) string {
+func formatBytes(b float64) string {
 	switch {
 	case b >= 1<<20:
 		return fmt.Sprintf("%.1f MiB", b/(1<<20))
@@ -89,7 +91,7 @@
 	}
 }
 
-func list(v []int) string {
+func formatInts(v []int) string {
 	var s string
 	for i, x := range v {
 		if i > 0 {
@@ -100,7 +102,7 @@
 	return s
 }
 
-func floats(v []float64) string {
+func formatFloats(v []float64) string {
 	var s string
 	for i, x := range v {
 		if i > 0 {
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -11,8 +11,8 @@
 	"celeryreach.example/celeryreach/target"
 )
 
-// The page is made by this command, so each of its roles must come out of a
-// run, with no cost that was not measured.
+// The capacity page is generated from this output, so a run must print every role,
+// and every figure must come from a measurement.
 func TestShortRun(t *testing.T) {
 	var b strings.Builder
 	c := &capacity.Capacity{Clock: clockwork.NewRealClock(), Target: target.New(), Out: &b, Short: true}
--- a/capacity/fixtures.go
+++ b/capacity/fixtures.go
@@ -25,29 +25,30 @@
 )
 
 const (
-	hold      = 3 * time.Second
-	beatEvery = 200 * time.Millisecond
-	// services is how many services the fixtures have.
-	services = 3
-	// keysPerAccount leaves room for a key in use and one that replaces it.
+	holdTime          = 3 * time.Second
+	heartbeatInterval = 200 * time.Millisecond
+	// serviceCount is the number of services in the fixtures.
+	serviceCount = 3
+	// keysPerAccount allows for a key in use and its replacement.
 	keysPerAccount = 2
 )
 
-func encode(v any) []byte {
+func mustMarshal(v any) []byte {
 	b, err := codec.Marshal(v)
 	if err != nil {
-		panic(err) // fixtures hold nothing that JSON cannot
+		panic(err) // all fixture values can be encoded as JSON
 	}
 	return b
 }
 
-// beat is a heartbeat that names peers and the demand of accounts.
-func beat(peers, accounts int) *wire.Heartbeat {
+// newHeartbeat returns a heartbeat that lists the given number of peers and the
+// demand of the given number of accounts.
+func newHeartbeat(peers, accounts int) *wire.Heartbeat {
 	h := &wire.Heartbeat{Protocol: 1, From: newHost(0), Sequence: 1 << 20, KeyAgeNanoseconds: 1, KnownDigest: 1 << 63, HasDigest: 1 << 63}
 	for _, k := range []string{"Config", "Plan", "Division"} {
 		h.Versions = append(h.Versions, &wire.Version{Kind: k, Version: 1 << 20, Hash: accepted.Short(credential.Hash(k))})
 	}
-	for i := range services {
+	for i := range serviceCount {
 		h.Loads = append(h.Loads, &wire.Load{
 			Service: fmt.Sprint("service-", i), Slots: 60, Busy: 30, Waiting: 3,
 			Answers: 1 << 30, Failures: 1 << 10, AnswerNanoseconds: 1 << 50,
@@ -57,12 +58,12 @@
 		h.Known = append(h.Known, newHost(i))
 	}
 	for i := range accounts {
-		h.Demands = append(h.Demands, &wire.Demand{Account: newName(i), Rate: 12.5})
+		h.Demands = append(h.Demands, &wire.Demand{Account: accountName(i), Rate: 12.5})
 	}
 	return h
 }
 
-func newName(i int) string {
+func accountName(i int) string {
 	return fmt.Sprint("account-", i)
 }
 
@@ -88,7 +89,8 @@
 	return holder.Holder{Name: m.Name, Incarnation: m.Incarnation, Domain: m.Domain, Region: m.Region}
 }
 
-// newDivision has n parts: ten holders of n/10 accounts.
+// newDivision returns a division with n parts: n/10 accounts, each divided among ten
+// holders.
 func newDivision(n int) *division.Division {
 	const holders = 10
 	d := &division.Division{Epoch: 1, Author: newHolder(0).Name, Parts: make(map[string]map[string]part.Part), FloorFraction: 0.5}
@@ -104,7 +106,7 @@
 				Leased: []span.Span{{From: uint32(j*1000 + 500), To: uint32(j*1000 + 1000)}},
 			}
 		}
-		d.Parts[division.RatePrefix+newName(i)] = m
+		d.Parts[division.RatePrefix+accountName(i)] = m
 	}
 	return d
 }
@@ -114,12 +116,12 @@
 	for i := range 9 {
 		c.Regions = append(c.Regions, region.Region{Name: fmt.Sprint("region-", i)})
 	}
-	for i := range services {
+	for i := range serviceCount {
 		n := fmt.Sprint("service-", i)
 		c.Services = append(c.Services, service.Service{Name: n, Prefix: "/" + n + "/", Timeout: time.Second})
 	}
 	for i := range n {
-		a := newName(i)
+		a := accountName(i)
 		c.Accounts = append(c.Accounts, account.Account{Name: a, Rate: 10, Burst: 5})
 		for j := range keysPerAccount {
 			k := fmt.Sprintf("%s-%d", a, j)
@@ -136,22 +138,23 @@
 	}
 	t := new(blocktable.Blocktable)
 	if err := t.Replace(l); err != nil {
-		panic(err) // the blocks are good
+		panic(err) // generated blocks are valid
 	}
 	return t
 }
 
-// newBlock returns the i-th /24, in an order that is spread over the addresses.
+// newBlock returns the i-th client block, a /24. Consecutive blocks are spread over
+// the address space.
 func newBlock(i int) block.Block {
-	p, err := address(i).Prefix(24)
+	p, err := blockAddress(i).Prefix(24)
 	if err != nil {
 		panic(err) // 24 bits fit an IPv4 address
 	}
 	return block.Block{Prefix: p, Region: fmt.Sprint("region-", i%9)}
 }
 
-func address(i int) netip.Addr {
-	// An odd factor permutes the 2^24 blocks.
+func blockAddress(i int) netip.Addr {
+	// Multiplying by an odd factor modulo 2^24 gives each i below 2^24 its own /24.
 	n := uint32(i) * 2654435 % (1 << 24)
 	return netip.AddrFrom4([4]byte{byte(n >> 16), byte(n >> 8), byte(n), 1})
 }
--- a/capacity/measurements.go
+++ b/capacity/measurements.go
@@ -18,10 +18,10 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// Names of the measured costs.
+// Names of the measured costs. They are printed as row names of the capacity page.
 const (
-	beatBytes      = "heartbeat, bytes by peers named"
-	beatTime       = "heartbeat written and read, by peers named"
+	heartbeatBytes = "heartbeat, bytes by peers named"
+	heartbeatTime  = "heartbeat written and read, by peers named"
 	demandBytes    = "heartbeat, bytes by accounts with demand"
 	divisionBytes  = "division, bytes by parts"
 	divisionTime   = "division read and taken, by parts"
@@ -36,7 +36,7 @@
 	lookupTime     = "look-up answered, by hosts"
 	admitTime      = "request admitted, by accounts"
 	admitBytes     = "admission in memory, by accounts"
-	gaugeTime      = "loads summed up, by hosts"
+	loadSumTime    = "loads summed up, by hosts"
 	ticketBytes    = "used tickets in memory, by tickets"
 	recordBytes    = "record of a request, bytes by answer bytes"
 	deltaWireBytes = "delta, bytes by accounts"
@@ -48,6 +48,7 @@
 	memberBytes    = "member of the roster, bytes by hosts"
 )
 
+// sizes returns the sizes to measure at, reduced to a hundredth in short mode.
 func (c *Capacity) sizes(s ...int) []int {
 	if !c.Short {
 		return s
@@ -64,10 +65,10 @@
 	m := c.sizes(1_000, 10_000, 100_000)
 	b := c.sizes(22_000, 220_000, 2_200_000)
 	return []measurement.Measurement{
-		{Name: beatBytes, Unit: "B", Per: "peers", Sizes: f, Measure: func(n int) float64 { return float64(proto.Size(beat(n, 0))) }},
-		{Name: beatTime, Unit: "ns", Per: "peers", Sizes: f, Measure: c.beatTime},
-		{Name: demandBytes, Unit: "B", Per: "accounts", Sizes: f, Measure: func(n int) float64 { return float64(proto.Size(beat(0, n))) }},
-		{Name: divisionBytes, Unit: "B", Per: "parts", Sizes: f, Measure: func(n int) float64 { return float64(len(encode(newDivision(n)))) }},
+		{Name: heartbeatBytes, Unit: "B", Per: "peers", Sizes: f, Measure: func(n int) float64 { return float64(proto.Size(newHeartbeat(n, 0))) }},
+		{Name: heartbeatTime, Unit: "ns", Per: "peers", Sizes: f, Measure: c.heartbeatTime},
+		{Name: demandBytes, Unit: "B", Per: "accounts", Sizes: f, Measure: func(n int) float64 { return float64(proto.Size(newHeartbeat(0, n))) }},
+		{Name: divisionBytes, Unit: "B", Per: "parts", Sizes: f, Measure: func(n int) float64 { return float64(len(mustMarshal(newDivision(n)))) }},
 		{Name: divisionTime, Unit: "ns", Per: "parts", Sizes: f, Measure: c.divisionTime},
 		{Name: snapshotBytes, Unit: "B", Per: "accounts", Sizes: m, Measure: snapshotSize},
 		{Name: readTime, Unit: "ns", Per: "accounts", Sizes: m, Measure: c.readTime},
@@ -76,19 +77,19 @@
 			return measurement.Time(c.Clock, func() { validate.Config(v) })
 		}},
 		{Name: deltaTime, Unit: "ns", Per: "accounts", Sizes: m, Measure: c.deltaTime},
-		{Name: deltaWireBytes, Unit: "B", Per: "accounts", Sizes: m, Measure: func(n int) float64 { return float64(len(changed(n).delta)) }},
-		{Name: contentBytes, Unit: "B", Per: "accounts", Sizes: m, Measure: func(n int) float64 { return float64(len(encode(newConfig(n)))) }},
+		{Name: deltaWireBytes, Unit: "B", Per: "accounts", Sizes: m, Measure: func(n int) float64 { return float64(len(newConfigChange(n).delta)) }},
+		{Name: contentBytes, Unit: "B", Per: "accounts", Sizes: m, Measure: func(n int) float64 { return float64(len(mustMarshal(newConfig(n)))) }},
 		{Name: blockBytes, Unit: "B", Per: "blocks", Sizes: b, Measure: blockSize},
 		{Name: blockTime, Unit: "ns", Per: "blocks", Sizes: b, Measure: c.blockTime},
 		{Name: blockChange, Unit: "ns", Per: "blocks", Sizes: b, Measure: c.blockChange},
 		{Name: rosterTime, Unit: "ns", Per: "hosts", Sizes: f, Measure: c.rosterTime},
 		{Name: memberBytes, Unit: "B", Per: "hosts", Sizes: f, Measure: func(n int) float64 {
-			return measurement.Bytes(func() any { return roster.New(members(n), slots) })
+			return measurement.Bytes(func() any { return roster.New(members(n), slotsPerService) })
 		}},
 		{Name: lookupTime, Unit: "ns", Per: "hosts", Sizes: f, Measure: c.lookupTime},
 		{Name: admitTime, Unit: "ns", Per: "accounts", Sizes: m, Measure: c.admitTime},
 		{Name: admitBytes, Unit: "B", Per: "accounts", Sizes: m, Measure: c.admitSize},
-		{Name: gaugeTime, Unit: "ns", Per: "hosts", Sizes: f, Measure: c.gaugeTime},
+		{Name: loadSumTime, Unit: "ns", Per: "hosts", Sizes: f, Measure: c.loadSumTime},
 		{Name: ticketBytes, Unit: "B", Per: "tickets", Sizes: m, Measure: c.ticketSize},
 		{Name: waitBytes, Unit: "B", Per: "requests", Sizes: m, Measure: c.waitSize},
 		{Name: waitTime, Unit: "ns", Per: "requests", Sizes: m, Measure: c.waitTime},
@@ -100,32 +101,33 @@
 			return measurement.Bytes(func() any { return c.newTokens(n) })
 		}},
 		{Name: tokenTime, Unit: "ns", Per: "accounts", Sizes: f, Measure: c.tokenTime},
-		{Name: recordBytes, Unit: "B", Per: "answer bytes", Sizes: f, Measure: func(n int) float64 { return float64(len(encode(newRecord(n)))) }},
+		{Name: recordBytes, Unit: "B", Per: "answer bytes", Sizes: f, Measure: func(n int) float64 { return float64(len(mustMarshal(newRecord(n)))) }},
 	}
 }
 
-func (c *Capacity) beatTime(n int) float64 {
-	h := beat(n, 0)
+func (c *Capacity) heartbeatTime(n int) float64 {
+	h := newHeartbeat(n, 0)
 	return measurement.Time(c.Clock, func() {
 		b, err := proto.Marshal(h)
 		if err != nil {
-			panic(err) // a heartbeat holds nothing that cannot be written
+			panic(err) // the fixture is a valid message
 		}
 		if err := proto.Unmarshal(b, new(wire.Heartbeat)); err != nil {
-			panic(err) // it was just written
+			panic(err) // the bytes were encoded above
 		}
 	})
 }
 
-// divisionTime is what a host spends on a new epoch.
+// divisionTime measures how long a host takes to decode and apply a division with a
+// new epoch.
 func (c *Capacity) divisionTime(n int) float64 {
-	b := encode(newDivision(n))
-	h := &holding.Holding{Clock: c.Clock, Self: newHolder(0), Hold: hold, StoreHold: hold, Every: beatEvery}
+	b := mustMarshal(newDivision(n))
+	h := &holding.Holding{Clock: c.Clock, Self: newHolder(0), Hold: holdTime, StoreHold: holdTime, Every: heartbeatInterval}
 	e := uint64(0)
 	return measurement.Time(c.Clock, func() {
 		var d division.Division
 		if err := codec.Unmarshal(b, &d); err != nil {
-			panic(err) // it was just written
+			panic(err) // the bytes were encoded above
 		}
 		e++
 		d.Epoch = e
@@ -137,36 +139,38 @@
 	return measurement.Bytes(func() any { return snapshot.New(newConfig(n), "") })
 }
 
-// readTime is what today's code spends on each version on every host.
+// readTime measures how long a host takes to decode and index a complete
+// configuration. Every host does this for each new version.
 func (c *Capacity) readTime(n int) float64 {
-	b := encode(newConfig(n))
+	b := mustMarshal(newConfig(n))
 	return measurement.Time(c.Clock, func() {
 		v := new(config.Config)
 		if err := codec.Unmarshal(b, v); err != nil {
-			panic(err) // it was just written
+			panic(err) // the bytes were encoded above
 		}
 		snapshot.New(v, "")
 	})
 }
 
-// version is a configuration before and after a change of one account.
-type version struct {
+// configChange is an encoded configuration and the delta that changes one of its
+// accounts.
+type configChange struct {
 	before []byte
 	delta  []byte
 }
 
-func changed(n int) version {
+func newConfigChange(n int) configChange {
 	v := newConfig(n)
-	a := encode(v)
+	a := mustMarshal(v)
 	v.Accounts[n/2].Rate++
-	return version{before: a, delta: delta.Make(a, encode(v))}
+	return configChange{before: a, delta: delta.Make(a, mustMarshal(v))}
 }
 
 func (c *Capacity) deltaTime(n int) float64 {
-	v := changed(n)
+	v := newConfigChange(n)
 	return measurement.Time(c.Clock, func() {
 		if _, err := delta.Apply(v.before, v.delta); err != nil {
-			panic(err) // it was made from these two
+			panic(err) // the delta was made from this configuration
 		}
 	})
 }
@@ -179,8 +183,8 @@
 	t := newBlocks(n)
 	i := 0
 	d := measurement.Time(c.Clock, func() {
-		i += 7919 // a prime, so that caches do not answer
-		t.Find(address(i % n))
+		i += 7919 // a prime stride, to avoid cache hits
+		t.Find(blockAddress(i % n))
 	})
 	runtime.KeepAlive(t)
 	return d
@@ -191,7 +195,7 @@
 	b := newBlock(n / 2)
 	return measurement.Time(c.Clock, func() {
 		if err := t.Change([]block.Block{b}, nil); err != nil {
-			panic(err) // the block is as good as those in the table
+			panic(err) // the block is already in the table, so it is valid
 		}
 	})
 }
--- a/capacity/edge.go
+++ b/capacity/placement.go
@@ -17,20 +17,22 @@
 	"celeryreach.example/celeryreach/tokens"
 )
 
-// What a host on the users' platform keeps and does.
+// Costs of a host on the users' platform: placement of requests on backend
+// servers, and token buckets.
 const (
 	placeTime  = "request placed, by backend servers of the service"
 	listTime   = "list of backend servers taken, by backend servers"
 	tokenBytes = "buckets in memory, by accounts"
 	tokenTime  = "token taken, by accounts"
-	// entryBytes is a backend server's entry on the wire.
-	entryBytes = 250
-	// listedServers is a region's backend servers: those of 94 sites, three
-	// services of four each.
-	listedServers = 1_128
-	// listChanges is the changes of a region's list in a second, when each
-	// backend server is replaced once a day and comes, warms up and leaves.
-	listChanges = listedServers * 4 / 86_400.0
+	// backendEntryBytes is the encoded size of a backend server's list entry.
+	backendEntryBytes = 250
+	// regionBackends is the number of backend servers in a region: 94 sites with
+	// three services each, and four backend servers per service.
+	regionBackends = 1_128
+	// regionBackendChanges is the number of changes per second to a region's list.
+	// Each backend server is replaced once a day, which changes its entry four
+	// times as it appears, warms up and leaves.
+	regionBackendChanges = regionBackends * 4 / 86_400.0
 )
 
 func newPlacement(c *Capacity, n int) *placement.Placement {
@@ -40,11 +42,11 @@
 		Pace: &coldpace.Coldpace{Self: h[0], Hosts: func() []string { return h }, Overage: 1.5, Slack: 5},
 		Rate: func(string) (float64, time.Duration) { return 10, time.Second },
 	}
-	p.Set(servers(n), warm)
+	p.Set(newBackends(n), noColdPeriod)
 	return p
 }
 
-func servers(n int) []backend.Backend {
+func newBackends(n int) []backend.Backend {
 	l := make([]backend.Backend, n)
 	for i := range l {
 		l[i] = backend.Backend{
@@ -54,7 +56,8 @@
 	return l
 }
 
-func warm(string) time.Time {
+// noColdPeriod returns the zero time, which means that a backend server is warm.
+func noColdPeriod(string) time.Time {
 	return time.Time{}
 }
 
@@ -72,15 +75,15 @@
 
 func (c *Capacity) listTime(n int) float64 {
 	p := newPlacement(c, n)
-	l := servers(n)
-	return measurement.Time(c.Clock, func() { p.Set(l, warm) })
+	l := newBackends(n)
+	return measurement.Time(c.Clock, func() { p.Set(l, noColdPeriod) })
 }
 
 func (c *Capacity) newTokens(n int) *tokens.Tokens {
-	t := &tokens.Tokens{Clock: c.Clock, Self: newName(0), Hosts: func() []string { return []string{newName(0)} }}
+	t := &tokens.Tokens{Clock: c.Clock, Self: accountName(0), Hosts: func() []string { return []string{accountName(0)} }}
 	l := make([]account.Account, n)
 	for i := range l {
-		l[i] = account.Account{Name: newName(i), Rate: 1e9, Burst: 1e6}
+		l[i] = account.Account{Name: accountName(i), Rate: 1e9, Burst: 1e6}
 	}
 	t.Set(l)
 	return t
@@ -90,16 +93,16 @@
 	t := c.newTokens(n)
 	i := 0
 	return measurement.Time(c.Clock, func() {
-		i += 7919 // a prime, so that caches do not answer
-		t.Take(context.Background(), newName(i%n), 0)
+		i += 7919 // a prime stride, to avoid cache hits
+		t.Take(context.Background(), accountName(i%n), 0)
 	})
 }
 
 func (c *Capacity) placement() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "placement", State: listedServers * entryBytes * 4, Traffic: listChanges * entryBytes,
-		Core:    (t.Lookups/t.Nodes*c.at(placeTime, domainBackends) + listChanges*c.at(listTime, listedServers)) / nanos,
+		Name: "placement", State: regionBackends * backendEntryBytes * 4, Traffic: regionBackendChanges * backendEntryBytes,
+		Core:    (t.Lookups/t.Nodes*c.costAt(placeTime, domainBackends) + regionBackendChanges*c.costAt(listTime, regionBackends)) / nanosPerSecond,
 		Carries: "rendezvous hashing over a service's backend servers in reach; changes by the store's feed",
 		Breaks:  "every host follows the whole list: 10,200 backend servers, and as many hosts that ask the store; a list for each region, and relays",
 	}
@@ -108,7 +111,7 @@
 func (c *Capacity) tokens() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "tokens", State: c.at(tokenBytes, siteAccounts), Core: t.Lookups / t.Nodes * c.at(tokenTime, siteAccounts) / nanos,
+		Name: "tokens", State: c.costAt(tokenBytes, siteAccounts), Core: t.Lookups / t.Nodes * c.costAt(tokenTime, siteAccounts) / nanosPerSecond,
 		Carries: "a bucket an account of the site on a few holders, which other hosts ask when a request waits",
 		Breaks:  "holders are drawn from all hosts: most requests would borrow from another region; holders have to follow the sites that an account uses",
 	}
--- a/capacity/lines.go
+++ b/capacity/queue.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// queuedAccounts is how many accounts the waiting requests belong to.
-	queuedAccounts = 100
-	pickSlots      = 4
+	// queuedAccounts is the number of accounts that the waiting requests belong to.
+	queuedAccounts  = 100
+	slotsPerBackend = 4
 )
 
-// newQueue has n requests that wait for slots that never come free.
+// newQueue returns a queue of n waiting requests. No slot ever becomes free.
 func (c *Capacity) newQueue(n int) *queue.Queue {
 	q := &queue.Queue{Clock: c.Clock, Limit: 2 * n, Acquire: func() (slot.Slot, bool) { return slot.Slot{}, false }}
 	for i := range n {
-		q.Enter(context.Background(), newName(i%queuedAccounts), time.Hour)
+		q.Enter(context.Background(), accountName(i%queuedAccounts), time.Hour)
 	}
 	return q
 }
 
-// waitSize leaves out the caller's goroutines and connection, which package
-// entry's benchmark of waiting callers counts.
+// waitSize measures the memory of the queue only. The benchmark of waiting callers
+// in package entry covers the caller's goroutines and connection.
 func (c *Capacity) waitSize(n int) float64 {
 	return measurement.Bytes(func() any { return c.newQueue(n) })
 }
@@ -37,7 +37,7 @@
 func (c *Capacity) waitTime(n int) float64 {
 	q := c.newQueue(n)
 	return measurement.Time(c.Clock, func() {
-		_, l := q.Enter(context.Background(), newName(0), time.Hour)
+		_, l := q.Enter(context.Background(), accountName(0), time.Hour)
 		l()
 	})
 }
@@ -45,7 +45,7 @@
 func (c *Capacity) pickTime(n int) float64 {
 	l := make([]backend.Backend, n)
 	for i := range l {
-		l[i] = backend.Backend{Name: fmt.Sprint("backend-", i), Slots: pickSlots, Connections: 100 * pickSlots}
+		l[i] = backend.Backend{Name: fmt.Sprint("backend-", i), Slots: slotsPerBackend, Connections: 100 * slotsPerBackend}
 	}
 	b := &balancer.Balancer{
 		Clock: c.Clock, Backends: func() []backend.Backend { return l },
--- a/capacity/requests.go
+++ b/capacity/requests.go
@@ -33,20 +33,20 @@
 	return r
 }
 
-func slots(string) int {
+func slotsPerService(string) int {
 	return 60
 }
 
 func (c *Capacity) rosterTime(n int) float64 {
 	m := members(n)
-	return measurement.Time(c.Clock, func() { roster.New(m, slots) })
+	return measurement.Time(c.Clock, func() { roster.New(m, slotsPerService) })
 }
 
-// lookupTime is the handler's time. It leaves out the reading and writing of the
-// connection by net/http, a cost of every answer and not of steering.
+// lookupTime measures the look-up handler. It leaves out the reading and writing of
+// the connection by net/http, which every HTTP response costs, whatever its handler.
 func (c *Capacity) lookupTime(n int) float64 {
 	s := snapshot.New(newConfig(1), "")
-	r := roster.New(members(n), slots)
+	r := roster.New(members(n), slotsPerService)
 	t := newBlocks(10_000)
 	p := new(plan.Plan)
 	l := &lookup.Lookup{
@@ -58,11 +58,11 @@
 	}
 	u := &url.URL{Path: "/lookup"}
 	h := &http.Request{Method: http.MethodGet, URL: u}
-	w := discard{}
+	w := discardWriter{}
 	i := 0
 	return measurement.Time(c.Clock, func() {
-		i += 7919 // a prime, so that caches do not answer
-		u.RawQuery = "service=service-0&account=" + newName(i%100) + "&address=" + address(i%10_000).String()
+		i += 7919 // a prime stride, to avoid cache hits
+		u.RawQuery = "service=service-0&account=" + accountName(i%100) + "&address=" + blockAddress(i%10_000).String()
 		l.ServeHTTP(w, h)
 	})
 }
@@ -70,15 +70,15 @@
 func (c *Capacity) newQuota(n int) *quota.Quota {
 	s := snapshot.New(newConfig(n), "")
 	o := c.Clock.Now()
-	g := grant.Grant{Floor: 1, FloorSince: o, FloorUntil: o.Add(1000 * hold), Unused: true}
-	return &quota.Quota{Clock: c.Clock, Account: s.Account, Grant: func(string) grant.Grant { return g }, Hold: hold}
+	g := grant.Grant{Floor: 1, FloorSince: o, FloorUntil: o.Add(1000 * holdTime), Unused: true}
+	return &quota.Quota{Clock: c.Clock, Account: s.Account, Grant: func(string) grant.Grant { return g }, Hold: holdTime}
 }
 
 func (c *Capacity) admitTime(n int) float64 {
 	q := c.newQuota(n)
 	a := make([]string, n)
 	for i := range a {
-		a[i] = newName(i)
+		a[i] = accountName(i)
 	}
 	i := 0
 	return measurement.Time(c.Clock, func() {
@@ -91,17 +91,17 @@
 	q := c.newQuota(n)
 	return measurement.Bytes(func() any {
 		for i := range n {
-			q.Take(newName(i))
+			q.Take(accountName(i))
 		}
 		return q
 	})
 }
 
-// gaugeTime is what the planner spends to sum up the loads of n hosts.
-func (c *Capacity) gaugeTime(n int) float64 {
-	g := &gauge.Gauge{Clock: c.Clock, Window: hold, Hold: 1000 * hold}
+// loadSumTime measures how long the planner takes to sum up the loads of n hosts.
+func (c *Capacity) loadSumTime(n int) float64 {
+	g := &gauge.Gauge{Clock: c.Clock, Window: holdTime, Hold: 1000 * holdTime}
 	for i := range n {
-		h := beat(0, 0)
+		h := newHeartbeat(0, 0)
 		h.From = newHost(i)
 		g.Note(h)
 	}
@@ -117,7 +117,7 @@
 
 func (c *Capacity) ticketSize(n int) float64 {
 	t := &ticket.Ticket{
-		Clock: c.Clock, Host: "host", Incarnation: 1, Lifetime: 1000 * hold, Bytes: 1 << 30, Limit: n + 1,
+		Clock: c.Clock, Host: "host", Incarnation: 1, Lifetime: 1000 * holdTime, Bytes: 1 << 30, Limit: n + 1,
 		Find: func(string, uint64) (string, bool) { return "", false },
 	}
 	return measurement.Bytes(func() any {
@@ -130,7 +130,8 @@
 	})
 }
 
-// countSize is what the burn report's counts of one minute take.
+// countSize measures the memory of the burn report's counts for one minute, with n
+// accounts active in each second.
 func countSize(n int) float64 {
 	c := clockwork.NewFakeClock()
 	b := &burn.Burn{
@@ -141,7 +142,7 @@
 	return measurement.Bytes(func() any {
 		for range 60 {
 			for i := range n {
-				b.Record(newName(i), "service-0", o, time.Millisecond)
+				b.Record(accountName(i), "service-0", o, time.Millisecond)
 			}
 			c.Advance(time.Second)
 		}
@@ -149,18 +150,18 @@
 	})
 }
 
-// discard is a ResponseWriter for nobody.
-type discard http.Header
+// discardWriter is an http.ResponseWriter that discards the response.
+type discardWriter http.Header
 
-// Header returns the header.
-func (d discard) Header() http.Header {
+// Header implements http.ResponseWriter.
+func (d discardWriter) Header() http.Header {
 	return http.Header(d)
 }
 
-// Write drops the body.
-func (d discard) Write(b []byte) (int, error) {
+// Write implements http.ResponseWriter.
+func (d discardWriter) Write(b []byte) (int, error) {
 	return len(b), nil
 }
 
-// WriteHeader drops the status.
-func (d discard) WriteHeader(int) {}
+// WriteHeader implements http.ResponseWriter.
+func (d discardWriter) WriteHeader(int) {}
--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -6,57 +6,64 @@
 	"celeryreach.example/celeryreach/role"
 )
 
-// What the page assumes beyond the stated target. The page repeats it.
+// Assumptions in addition to the stated target. The capacity page lists them too.
 const (
-	// accounts is the number of client accounts.
-	accounts = 100_000
-	// siteAccounts is how many of them send through one site.
+	// clientAccounts is the number of client accounts.
+	clientAccounts = 100_000
+	// siteAccounts is the number of client accounts that send through one site.
 	siteAccounts = 1_000
-	// beatSeconds is the time between two heartbeats to a peer.
-	beatSeconds = 1.5
-	// farSeconds is the time between heartbeats of those who speak for a site or
-	// a domain. Hold is three of them: their part of a limit moves within 12 s.
-	farSeconds = 4.0
-	// beatDemands is how many accounts' demands changed since the last one.
-	beatDemands = 2
-	// pollers is how many hosts of a domain read the table each second.
-	pollers = 2
-	// epochGap is the least seconds between two divisions of one domain.
-	epochGap = 10.0
-	// epochChange is the fraction of the parts that a division changes.
-	epochChange = 0.01
-	// changeBytes is the size of a change with its envelope on the wire.
+	// heartbeatSeconds is the interval of heartbeats between hosts of a site.
+	heartbeatSeconds = 1.5
+	// remoteHeartbeatSeconds is the interval of heartbeats between the hosts that
+	// represent a site or a failure domain. Hold is three intervals, so the parts
+	// of limits that a silent one leases are reassigned within 12 s.
+	remoteHeartbeatSeconds = 4.0
+	// heartbeatDemands is the number of accounts whose demand changes between two
+	// heartbeats.
+	heartbeatDemands = 2
+	// pollersPerDomain is the number of hosts in a failure domain that read the
+	// table once a second.
+	pollersPerDomain = 2
+	// divisionIntervalSeconds is the minimum time between two divisions of one
+	// failure domain.
+	divisionIntervalSeconds = 10.0
+	// divisionChangedFraction is the fraction of parts that a new division changes.
+	divisionChangedFraction = 0.01
+	// changeBytes is the encoded size of a configuration change, including the
+	// message around it.
 	changeBytes = 400
-	// relayFanout is to how many hosts a host passes a change on.
+	// relayFanout is the number of hosts to which a host relays a change.
 	relayFanout = 4
-	// planSeconds is the time between two plans.
-	planSeconds = 30.0
-	// nonIdempotent is the requests per second over all hosts that carry
-	// callers' own ids; more than that have to use tickets.
-	nonIdempotent = 100
-	// ticketsHeld is the used tickets that a host remembers.
-	ticketsHeld = 20_000
-	// limitedAccounts is how many of a site's accounts are at their limit.
+	// planIntervalSeconds is the time between two published plans.
+	planIntervalSeconds = 30.0
+	// idempotencyIDRequests is the number of requests per second over all hosts
+	// that carry idempotency ids chosen by callers. Above that rate, callers have
+	// to use tickets.
+	idempotencyIDRequests = 100
+	// usedTickets is the number of used tickets that a host remembers.
+	usedTickets = 20_000
+	// limitedAccounts is the number of a site's accounts that are at their rate limit.
 	limitedAccounts = 20
-	// hourMinutes is the minutes for which seconds are kept.
-	hourMinutes = 60
-	// keepSeconds is the time between two writes of kept counts.
-	keepSeconds = 300.0
-	// waiting is how many requests wait at a host; as many requests as look-ups
-	// pass through it.
-	waiting = 10_000
-	// domainBackends is the backend servers of a service in a failure domain.
+	// secondCountMinutes is the number of minutes for which per-second counts are
+	// kept.
+	secondCountMinutes = 60
+	// countWriteSeconds is the interval at which counts are written to the table.
+	countWriteSeconds = 300.0
+	// waitingRequests is the number of requests waiting on a host. The number of
+	// requests per second on a host is taken to equal that of look-ups.
+	waitingRequests = 10_000
+	// domainBackends is the number of a service's backend servers in a failure domain.
 	domainBackends = 40
-	nanos          = 1e9
+	nanosPerSecond = 1e9
 )
 
-// at returns a measured cost at size n.
-func (c *Capacity) at(name string, n float64) float64 {
+// costAt returns a cost at size n, computed from its measurements.
+func (c *Capacity) costAt(name string, n float64) float64 {
 	return c.slopes[name].At(n)
 }
 
-// siblings is how many other hosts a site has.
-func (c *Capacity) siblings() float64 {
+// otherSiteHosts returns the number of other hosts in a host's site.
+func (c *Capacity) otherSiteHosts() float64 {
 	return c.Target.Nodes/c.Target.Sites - 1
 }
 
@@ -70,9 +77,9 @@
 func (c *Capacity) lookup() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "look-up", State: c.at(blockBytes, t.Blocks) + c.at(memberBytes, t.Nodes),
-		Core: t.Lookups/t.Nodes*c.at(lookupTime, t.Nodes/t.Regions)/nanos +
-			2*t.Replaced*c.at(rosterTime, t.Nodes)/nanos,
+		Name: "look-up", State: c.costAt(blockBytes, t.Blocks) + c.costAt(memberBytes, t.Nodes),
+		Core: t.Lookups/t.Nodes*c.costAt(lookupTime, t.Nodes/t.Regions)/nanosPerSecond +
+			2*t.Replaced*c.costAt(rosterTime, t.Nodes)/nanosPerSecond,
 		Carries: "radix tree of client blocks; roster made anew when a host comes or goes; an account's hosts remembered",
 		Breaks:  "the roster comes from heartbeats of everybody; it has to come as a versioned content",
 	}
@@ -81,8 +88,8 @@
 func (c *Capacity) admission() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "admission", State: c.at(admitBytes, siteAccounts),
-		Core:    t.Lookups / t.Nodes * c.at(admitTime, accounts) / nanos,
+		Name: "admission", State: c.costAt(admitBytes, siteAccounts),
+		Core:    t.Lookups / t.Nodes * c.costAt(admitTime, clientAccounts) / nanosPerSecond,
 		Carries: "buckets made on first use; one hash a request",
 	}
 }
@@ -90,8 +97,8 @@
 func (c *Capacity) queue() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "queue", State: c.at(waitBytes, waiting),
-		Core:    t.Lookups / t.Nodes * c.at(waitTime, waiting) / nanos,
+		Name: "queue", State: c.costAt(waitBytes, waitingRequests),
+		Core:    t.Lookups / t.Nodes * c.costAt(waitTime, waitingRequests) / nanosPerSecond,
 		Carries: "accounts in a heap by their next turn, requests of an account in a list",
 	}
 }
@@ -99,82 +106,83 @@
 func (c *Capacity) balancer() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "balancer", Core: t.Lookups / t.Nodes * c.at(pickTime, domainBackends) / nanos,
+		Name: "balancer", Core: t.Lookups / t.Nodes * c.costAt(pickTime, domainBackends) / nanosPerSecond,
 		Carries: "two candidates of those with a free slot; only a domain's own backend servers",
 	}
 }
 
-// membership is heartbeats inside a site by everybody, between sites by one host
-// of each and between domains by one host of each. The cost is that of the
-// dearest host, which speaks for its domain.
+// membership returns the cost of heartbeats. Within a site, all hosts exchange
+// them. Between the sites of a failure domain, and between failure domains, one
+// host of each does. The cost is that of the most expensive host, which represents
+// both its site and its failure domain.
 func (c *Capacity) membership() role.Role {
 	t := c.Target
 	f := t.Sites/t.Domains - 1 + t.Domains - 1
-	n := c.siblings()/beatSeconds + f/farSeconds
-	b := c.at(beatBytes, 0) + beatDemands*c.slopes[demandBytes].Each
+	n := c.otherSiteHosts()/heartbeatSeconds + f/remoteHeartbeatSeconds
+	b := c.costAt(heartbeatBytes, 0) + heartbeatDemands*c.slopes[demandBytes].Each
 	return role.Role{
-		Name: "membership", State: c.at(beatBytes, t.Nodes/t.Sites) * (c.siblings() + f), Messages: 2 * n, Traffic: 2 * b * n,
-		Core:    2 * n * c.at(beatTime, 1) / nanos,
+		Name: "membership", State: c.costAt(heartbeatBytes, t.Nodes/t.Sites) * (c.otherSiteHosts() + f), Messages: 2 * n, Traffic: 2 * b * n,
+		Core:    2 * n * c.costAt(heartbeatTime, 1) / nanosPerSecond,
 		Carries: "heartbeats inside a site; one host speaks for a site and for a domain; lists of hosts only when they change",
 		Breaks: fmt.Sprintf("everybody beats to everybody five times a second: %s a second for each host",
-			size(2*t.Nodes/beatEvery.Seconds()*c.at(beatBytes, 0))),
+			formatBytes(2*t.Nodes/heartbeatInterval.Seconds()*c.costAt(heartbeatBytes, 0))),
 	}
 }
 
 func (c *Capacity) quota() role.Role {
 	t := c.Target
-	p := siteAccounts * (c.siblings() + 1)
+	p := siteAccounts * (c.otherSiteHosts() + 1)
 	return role.Role{
-		Name: "quota", State: c.at(divisionBytes, p), Traffic: c.at(divisionBytes, p) / epochGap * epochChange,
-		Writes: t.Domains / epochGap, Reads: t.Domains * pollers,
-		Core:    c.at(divisionTime, p) / nanos / epochGap * epochChange,
+		Name: "quota", State: c.costAt(divisionBytes, p), Traffic: c.costAt(divisionBytes, p) / divisionIntervalSeconds * divisionChangedFraction,
+		Writes: t.Domains / divisionIntervalSeconds, Reads: t.Domains * pollersPerDomain,
+		Core:    c.costAt(divisionTime, p) / nanosPerSecond / divisionIntervalSeconds * divisionChangedFraction,
 		Carries: "divisions in two levels, domain and host, sent as deltas",
 		Breaks: fmt.Sprintf("one division for all: %s for %d accounts and all hosts",
-			size(c.at(divisionBytes, accounts*t.Nodes)), accounts),
+			formatBytes(c.costAt(divisionBytes, clientAccounts*t.Nodes)), clientAccounts),
 	}
 }
 
 func (c *Capacity) configuration() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "configuration", State: c.at(snapshotBytes, accounts) + c.at(contentBytes, accounts),
+		Name: "configuration", State: c.costAt(snapshotBytes, clientAccounts) + c.costAt(contentBytes, clientAccounts),
 		Messages: relayFanout * t.Changes, Traffic: relayFanout * t.Changes * changeBytes,
-		Reads: t.Domains * pollers, Writes: t.Changes, Core: t.Changes * c.at(deltaTime, accounts) / nanos,
+		Reads: t.Domains * pollersPerDomain, Writes: t.Changes, Core: t.Changes * c.costAt(deltaTime, clientAccounts) / nanosPerSecond,
 		Carries: "deltas through a tree of relays, indexes changed in place",
 		Breaks: fmt.Sprintf("each version is read and indexed whole on every host: %.1f%% of a core",
-			100*t.Changes*c.at(readTime, accounts)/nanos),
+			100*t.Changes*c.costAt(readTime, clientAccounts)/nanosPerSecond),
 	}
 }
 
 func (c *Capacity) planner() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "planner", Reads: 1, Writes: 1 / planSeconds, Core: c.at(gaugeTime, t.Sites) / nanos,
+		Name: "planner", Reads: 1, Writes: 1 / planIntervalSeconds, Core: c.costAt(loadSumTime, t.Sites) / nanosPerSecond,
 		Carries: "one host at a time sums up sites once a second",
-		Breaks:  "it sums up every host's heartbeats: " + seconds(c.at(gaugeTime, t.Nodes)) + " for each look",
+		Breaks:  "it sums up every host's heartbeats: " + formatNanoseconds(c.costAt(loadSumTime, t.Nodes)) + " for each look",
 	}
 }
 
 func (c *Capacity) idempotency() role.Role {
 	return role.Role{
-		Name: "idempotency", State: c.at(ticketBytes, ticketsHeld), Writes: 2 * nonIdempotent,
+		Name: "idempotency", State: c.costAt(ticketBytes, usedTickets), Writes: 2 * idempotencyIDRequests,
 		Carries: "tickets, from memory; the table for callers' own ids (at that size too few a host to share commits)",
-		Breaks:  fmt.Sprintf("more than %d requests a second with callers' own ids over all hosts", nonIdempotent),
+		Breaks:  fmt.Sprintf("more than %d requests a second with callers' own ids over all hosts", idempotencyIDRequests),
 	}
 }
 
-// burn is the counts behind the report on service-level burn.
+// burn returns the cost of the counts behind the error-budget burn report.
 func (c *Capacity) burn() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "burn report", State: c.at(countBytes, limitedAccounts) * hourMinutes, Writes: t.Domains / keepSeconds,
+		Name: "burn report", State: c.costAt(countBytes, limitedAccounts) * secondCountMinutes, Writes: t.Domains / countWriteSeconds,
 		Carries: "seconds are kept for accounts at their limit only, the others' by the minute; sums by failure domain are kept on the platform",
 		Breaks: fmt.Sprintf("seconds of every account: %s for %d accounts; counts kept by host: %.0f commits/s",
-			size(c.at(countBytes, siteAccounts)*hourMinutes), siteAccounts, t.Nodes/keepSeconds*2),
+			formatBytes(c.costAt(countBytes, siteAccounts)*secondCountMinutes), siteAccounts, t.Nodes/countWriteSeconds*2),
 	}
 }
 
-func seconds(ns float64) string {
+func formatNanoseconds(ns float64) string {
 	switch {
 	case ns >= 1e9:
 		return fmt.Sprintf("%.1f s", ns/1e9)
--- a/measurement/measurement.go
+++ b/measurement/measurement.go
@@ -1,4 +1,4 @@
-// Package measurement measures one cost at several sizes.
+// Package measurement measures a cost, such as time or memory, at several sizes.
 package measurement
 
 import (
@@ -11,19 +11,19 @@
 )
 
 const (
-	passTime = 20 * time.Millisecond
-	passes   = 5
+	minPassTime = 20 * time.Millisecond
+	passes      = 5
 )
 
-// Measurement is one measured cost.
+// Measurement describes one measured cost and holds its results.
 type Measurement struct {
-	// Name says what is measured.
+	// Name describes the measured cost.
 	Name string
 	// Unit is the unit of the cost: "ns" or "B".
 	Unit string
-	// Per is the unit of the size: "block" for example.
+	// Per is the unit of the size, for example "blocks".
 	Per string
-	// Sizes are the sizes to measure at, three or more.
+	// Sizes lists the sizes to measure at, at least three.
 	Sizes []int
 	// Measure returns the cost at size n.
 	Measure func(n int) float64
@@ -31,7 +31,7 @@
 	costs []float64
 }
 
-// Run measures at all sizes and returns the line through them.
+// Run measures at all sizes and returns the line fitted through the results.
 func (p *Measurement) Run() slope.Slope {
 	var x []float64
 	p.costs = nil
@@ -47,34 +47,34 @@
 	return p.costs
 }
 
-// Time returns the nanoseconds that one call of f takes: the best of several
-// passes, since other work on the machine only ever adds.
+// Time returns the nanoseconds that one call of f takes. It returns the shortest of
+// several passes, since other work on the machine can only make a pass longer.
 func Time(c clockwork.Clock, f func()) float64 {
 	n := 1
 	for {
-		if d := pass(c, f, n); d >= passTime || n > 1<<28 {
+		if d := timePass(c, f, n); d >= minPassTime || n > 1<<28 {
 			break
 		}
 		n *= 2
 	}
 	b := time.Duration(1<<63 - 1)
 	for range passes {
-		b = min(b, pass(c, f, n))
+		b = min(b, timePass(c, f, n))
 	}
 	return float64(b) / float64(n)
 }
 
-// Bytes returns the heap that stays in use after f, which returns what keeps
-// it in use.
+// Bytes returns the growth of the heap caused by f. The value that f returns is kept
+// alive until the heap is measured.
 func Bytes(f func() any) float64 {
-	a := heap()
+	a := heapInUse()
 	v := f()
-	b := heap()
+	b := heapInUse()
 	runtime.KeepAlive(v)
 	return max(0, float64(b)-float64(a))
 }
 
-func pass(c clockwork.Clock, f func(), n int) time.Duration {
+func timePass(c clockwork.Clock, f func(), n int) time.Duration {
 	t := c.Now()
 	for range n {
 		f()
@@ -82,7 +82,7 @@
 	return c.Since(t)
 }
 
-func heap() uint64 {
+func heapInUse() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
--- a/placementplot/placementplot.go
+++ b/placementplot/placementplot.go
@@ -1,5 +1,5 @@
-// Package placementplot writes a page that shows what ways to place requests do
-// under one trouble, second by second.
+// Package placementplot writes an HTML page of plots that compare request placement
+// policies over time under simulated faults.
 package placementplot
 
 import (
@@ -14,28 +14,28 @@
 	"celeryreach.example/celeryreach/placementtrial"
 )
 
-// Placementplot collects runs and writes them as one HTML page.
+// Placementplot collects simulation runs and writes them as one HTML page.
 type Placementplot struct {
-	troubles []string
-	lines    map[string]map[string]plotter.XYs // by trouble and way
+	scenarios []string
+	lines     map[string]map[string]plotter.XYs // by scenario (Trouble) and placement policy (Way)
 }
 
-var layout = template.Must(template.New("placement").Parse(`<!doctype html>
-<html lang="en"><head><meta charset="utf-8"><title>Ways to place requests</title>
+var pageTemplate = template.Must(template.New("placement").Parse(`<!doctype html>
+<html lang="en"><head><meta charset="utf-8"><title>Request placement policies</title>
 <style>body{font-family:sans-serif;margin:2em;max-width:70em}svg{max-width:100%;height:auto;display:block;margin:1em 0}</style></head>
-<body><h1>Ways to place requests</h1><p>Part of the requests that were answered within their objective, by the
-second at which they came. The trouble lasts from 5 s to 12 s.</p>{{range .}}{{.}}{{end}}</body></html>
+<body><h1>Request placement policies</h1><p>Fraction of requests that were answered within their latency objective, by the
+second at which they arrived. The fault lasts from 5 s to 12 s.</p>{{range .}}{{.}}{{end}}</body></html>
 `))
 
-// New returns a page without runs.
+// New returns an empty page.
 func New() *Placementplot {
 	return &Placementplot{lines: make(map[string]map[string]plotter.XYs)}
 }
 
-// Add adds a run that has ended.
+// Add adds the results of a completed run.
 func (p *Placementplot) Add(t *placementtrial.Placementtrial) {
 	if p.lines[t.Trouble] == nil {
-		p.troubles = append(p.troubles, t.Trouble)
+		p.scenarios = append(p.scenarios, t.Trouble)
 		p.lines[t.Trouble] = make(map[string]plotter.XYs)
 	}
 	var l plotter.XYs
@@ -48,14 +48,14 @@
 // Write writes the page.
 func (p *Placementplot) Write(w io.Writer) error {
 	var l []template.HTML
-	for _, x := range p.troubles {
+	for _, x := range p.scenarios {
 		b, err := p.draw(x)
 		if err != nil {
 			return errors.Wrap(err, x)
 		}
-		l = append(l, template.HTML(b)) //nolint:gosec // lineplot escapes texts
+		l = append(l, template.HTML(b)) //nolint:gosec // lineplot escapes all text
 	}
-	return errors.Wrap(layout.Execute(w, l), "page")
+	return errors.Wrap(pageTemplate.Execute(w, l), "page")
 }
 
 func (p *Placementplot) draw(trouble string) ([]byte, error) {
--- a/placementplot/placementplot_test.go
+++ b/placementplot/placementplot_test.go
@@ -12,7 +12,7 @@
 	"celeryreach.example/celeryreach/placementtrial"
 )
 
-func TestWritesAPlotForEachTrouble(t *testing.T) {
+func TestWritesPlotForEachScenario(t *testing.T) {
 	p := placementplot.New()
 	for _, x := range []string{placementtrial.Calm, placementtrial.Lost} {
 		for _, w := range []string{placementtrial.Random, placementtrial.Product} {
--- a/role/role.go
+++ b/role/role.go
@@ -1,25 +1,26 @@
-// Package role describes one row of the capacity page.
+// Package role defines a row in the table of roles of the capacity page.
 package role
 
-// Role is what one role of the system costs a host at the target size. A
-// figure below zero means that the role has no such cost.
+// Role is the cost of one role of the system, such as look-up or admission, at the
+// target size. A figure of zero means that the role has no such cost.
 type Role struct {
-	// Name is the role.
+	// Name is the name of the role, the first column of the table.
 	Name string
-	// State is what the role keeps, in bytes on a host.
+	// State is the memory that the role uses on a host, in bytes.
 	State float64
-	// Messages is messages per second that a host sends.
+	// Messages is the number of messages per second that a host sends.
 	Messages float64
-	// Traffic is bytes per second that a host sends for control.
+	// Traffic is the number of control-plane bytes per second that a host sends.
 	Traffic float64
-	// Reads is reads of the table per second by all hosts together.
+	// Reads is the number of table reads per second by all hosts together.
 	Reads float64
-	// Writes is commits to the table per second by all hosts together.
+	// Writes is the number of table commits per second by all hosts together.
 	Writes float64
-	// Core is the fraction of a core on a host.
+	// Core is the fraction of a CPU core that the role uses on a host.
 	Core float64
-	// Carries names the mechanism that carries the role at that size.
+	// Carries describes the mechanism that supports the role at the target size.
 	Carries string
-	// Breaks says what today's code would break on, empty if nothing.
+	// Breaks describes why the present code would fail at the target size. It is
+	// empty if the code would not.
 	Breaks string
 }
--- a/slope/slope.go
+++ b/slope/slope.go
@@ -1,19 +1,20 @@
-// Package slope fits a straight line through measurements, so that costs
-// measured at sizes one machine can hold tell the cost at the target size.
+// Package slope fits a straight line through measured costs. It serves to
+// extrapolate from sizes that fit on one machine to the target size.
 package slope
 
-// Slope is the line cost = Base + Each·n.
+// Slope is the line cost = Base + Each·n, where n is the size.
 type Slope struct {
-	// Base is the cost at size zero.
+	// Base is the intercept, the cost at size zero.
 	Base float64
-	// Each is the cost that one more unit of size adds.
+	// Each is the gradient, the cost per unit of size.
 	Each float64
-	// Fit is the coefficient of determination: 1 for a perfect line. A low
-	// value says that the cost is no line, and At must not be trusted.
+	// Fit is the coefficient of determination, 1 for a perfect fit. A low value
+	// means that the cost is not linear in the size and that At is unreliable.
 	Fit float64
 }
 
-// New fits a line by least squares. It needs two different sizes or more.
+// New fits a line by least squares. It needs at least two different sizes. With a
+// single one, the line is constant at the mean cost.
 func New(sizes, costs []float64) Slope {
 	x, y := mean(sizes), mean(costs)
 	var v, c, t float64
@@ -34,7 +35,7 @@
 	return s
 }
 
-// At returns the cost at size n, never below zero.
+// At returns the estimated cost at size n, at least zero.
 func (s Slope) At(n float64) float64 {
 	return max(0, s.Base+s.Each*n)
 }
--- a/slope/slope_test.go
+++ b/slope/slope_test.go
@@ -9,7 +9,7 @@
 	"celeryreach.example/celeryreach/slope"
 )
 
-// Points of a line give that line, whatever the line is.
+// A fit through points on a line must return that line.
 func TestLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.Float64Range(0, 1e6).Draw(t, "base")
--- a/target/target.go
+++ b/target/target.go
@@ -1,49 +1,50 @@
-// Package target holds the size that the design has to carry in about two
-// years, as the users stated it.
+// Package target defines the deployment size that the design has to support in about
+// two years, as stated by the users.
 package target
 
 import "time"
 
-// Target is a size of deployment with its budgets for control.
+// Target is the size of a deployment and its resource budgets for the control plane.
 type Target struct {
 	// Nodes is the number of hosts.
 	Nodes float64
 	// Blocks is the number of client blocks.
 	Blocks float64
-	// Sites is the number of places that hosts stand in.
+	// Sites is the number of locations in which hosts are installed.
 	Sites float64
 	// Regions is the number of regions.
 	Regions float64
 	// Domains is the number of failure domains.
 	Domains float64
-	// Lookups is look-ups per second over all hosts.
+	// Lookups is the number of look-ups per second over all hosts.
 	Lookups float64
-	// Changes is configuration changes per second.
+	// Changes is the number of configuration changes per second.
 	Changes float64
-	// InForce is the time within which a change is in force everywhere.
+	// InForce is the time within which a change takes effect on all hosts.
 	InForce time.Duration
-	// Core is the fraction of a core that a host may spend on control.
+	// Core is the fraction of a CPU core that the control plane may use on a host.
 	Core float64
-	// Bytes is the memory that a host may spend on control.
+	// Bytes is the memory that the control plane may use on a host.
 	Bytes float64
-	// Traffic is the bytes per second that a host may spend on control.
+	// Traffic is the number of bytes per second that a host may send for the
+	// control plane.
 	Traffic float64
-	// StoreWrites is the writes per second that the platform takes.
+	// StoreWrites is the number of writes per second that the platform accepts.
 	StoreWrites float64
-	// StoreReads is the reads per second that the platform takes.
+	// StoreReads is the number of reads per second that the platform accepts.
 	StoreReads float64
-	// Replaced is the hosts restarted or replaced per second.
+	// Replaced is the number of hosts restarted or replaced per second.
 	Replaced float64
 }
 
-const day = 24 * 60 * 60
+const secondsPerDay = 24 * 60 * 60
 
-// New returns the target.
+// New returns the target that the users stated.
 func New() Target {
 	return Target{
 		Nodes: 7_900, Blocks: 2_200_000, Sites: 850, Regions: 9, Domains: 27,
-		Lookups: 3_300_000, Changes: 27_000.0 / day, InForce: 13 * time.Second,
+		Lookups: 3_300_000, Changes: 27_000.0 / secondsPerDay, InForce: 13 * time.Second,
 		Core: 0.029, Bytes: 256 << 20, Traffic: 10_000,
-		StoreWrites: 300, StoreReads: 2_000, Replaced: 2_230.0 / day,
+		StoreWrites: 300, StoreReads: 2_000, Replaced: 2_230.0 / secondsPerDay,
 	}
 }
