--- a/separation/fleet_test.go
+++ b/separation/fleet_test.go
@@ -32,8 +32,9 @@
 	"celeryreach.example/celeryreach/staleness"
 )
 
-// deploy starts three whole hosts in as many failure domains.
-func deploy(t *testing.T) (context.Context, *fleet.Fleet) {
+// startFleet starts three hosts with all their components, each in its own failure
+// domain.
+func startFleet(t *testing.T) (context.Context, *fleet.Fleet) {
 	t.Helper()
 	ctx, c := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(c)
@@ -58,8 +59,8 @@
 	return ctx, f
 }
 
-// apply makes a change through a host.
-func apply(ctx context.Context, t *testing.T, f *fleet.Fleet, host string, from uint64, c *config.Config) {
+// putConfig replaces configuration version from by c through a host's operator API.
+func putConfig(ctx context.Context, t *testing.T, f *fleet.Fleet, host string, from uint64, c *config.Config) {
 	t.Helper()
 	b, err := codec.Marshal(c)
 	must.NoError(t, err)
@@ -73,15 +74,15 @@
 	must.EqOp(t, http.StatusOK, r.StatusCode)
 }
 
-// A caller keeps a connection to each host open and sends requests on it. Its
-// key is withdrawn through one host; on every host the next requests on the
-// same connections are refused, since each request shows its key and the new
-// version is relayed as soon as it is accepted.
+// A caller keeps a connection to each host open and sends requests on it. After its
+// key is withdrawn through one host, every host must refuse further requests on the
+// open connections: the key is checked on each request, and a new configuration
+// version is relayed to all hosts as soon as it is accepted.
 func TestWithdrawnKeyOnOpenConnections(t *testing.T) {
-	ctx, f := deploy(t)
+	ctx, f := startFleet(t)
 	c := &http.Client{Transport: new(http.Transport)}
 	defer c.CloseIdleConnections()
-	ask := func(host string) int {
+	get := func(host string) int {
 		q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.Settings(host).CallerAddress+"/pages/1", nil)
 		must.NoError(t, err)
 		q.Header.Set("Authorization", "Bearer "+f.Keys["unity"])
@@ -93,32 +94,32 @@
 		return r.StatusCode
 	}
 	for _, h := range f.Hosts() {
-		must.NoError(t, f.Await(ctx, h, func() bool { return ask(h) == http.StatusOK }))
+		must.NoError(t, f.Await(ctx, h, func() bool { return get(h) == http.StatusOK }))
 	}
 	n := f.Config
 	n.Keys = nil
-	apply(ctx, t, f, "abuja-1-a", 1, &n)
+	putConfig(ctx, t, f, "abuja-1-a", 1, &n)
 	for _, h := range f.Hosts() {
-		must.NoError(t, f.Await(ctx, h, func() bool { return ask(h) == http.StatusUnauthorized }))
+		must.NoError(t, f.Await(ctx, h, func() bool { return get(h) == http.StatusUnauthorized }))
 	}
-	must.NoError(t, f.Await(ctx, "the report", func() bool {
+	must.NoError(t, f.Await(ctx, "the version in force on all hosts", func() bool {
 		s, err := f.Status(ctx, "lagos-1-a")
 		return err == nil && s.InForce.Version == 2 && len(s.InForce.Hosts) == len(f.Hosts())
 	}))
 }
 
-// An operator switches the preset and lowers an account's rate to one request a
-// second in one change, while callers send. Every host names the new preset and
-// refuses the account's next requests as over its rate.
+// An operator switches the preset and lowers an account's rate to one request per
+// second in a single change, while callers send requests. Every host must report the
+// new preset and refuse the account's requests above the new rate.
 func TestPresetAndRateChangeEverywhere(t *testing.T) {
-	ctx, f := deploy(t)
+	ctx, f := startFleet(t)
 	n := f.Config
 	p := n.Presets[0]
 	p.Name = "Peak"
 	n.Presets = append([]preset.Preset{p}, n.Presets...)
 	n.Preset = "Peak"
 	n.Accounts = []account.Account{{Name: "unity", Rate: 1, Burst: 1}}
-	apply(ctx, t, f, "lagos-2-a", 1, &n)
+	putConfig(ctx, t, f, "lagos-2-a", 1, &n)
 	for _, h := range f.Hosts() {
 		must.NoError(t, f.Await(ctx, h, func() bool {
 			s, err := f.Status(ctx, h)
@@ -128,10 +129,11 @@
 	}
 }
 
-// Client blocks are put on the platform, and one is moved. Look-ups on every
-// host answer by them within seconds, though two hosts only read the list.
+// A client block is published on the platform and then assigned to another region.
+// Look-ups on every host must use it within seconds, although at most two hosts of
+// each failure domain read the list often.
 func TestBlocksReachAllHosts(t *testing.T) {
-	ctx, f := deploy(t)
+	ctx, f := startFleet(t)
 	p := &platformclient.Platformclient{URL: f.PlatformURL, Timeout: time.Second}
 	defer p.Close()
 	u := &blockpublish.Blockpublish{Clock: clockwork.NewRealClock(), Platform: p.Platform()}
@@ -140,13 +142,14 @@
 		_, err := u.Change(ctx, []block.Block{{Prefix: n, Region: r}}, nil)
 		must.NoError(t, err)
 		for _, h := range f.Hosts() {
-			must.NoError(t, f.Await(ctx, h, func() bool { return steered(ctx, f, h) == r }))
+			must.NoError(t, f.Await(ctx, h, func() bool { return lookupRegion(ctx, f, h) == r }))
 		}
 	}
 }
 
-// steered returns the region that a host answers for a caller at 10.0.0.1.
-func steered(ctx context.Context, f *fleet.Fleet, host string) string {
+// lookupRegion returns the region that a host's look-up assigns to a caller at
+// 10.0.0.1, or an empty string if the look-up fails.
+func lookupRegion(ctx context.Context, f *fleet.Fleet, host string) string {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.Settings(host).CallerAddress+"/lookup?address=10.0.0.1", nil)
 	if err != nil {
 		return ""
@@ -164,12 +167,13 @@
 	return a.Region
 }
 
-// A failure domain is cut off from all others and from the platform. Its
-// caller's non-idempotent requests are refused first, then all, each as not
-// run and with the reason; after healing it is served again. The other domains
-// serve all the time, and say which host and domain they do not hear.
-func TestCutOffDomainStopsTrustingKeys(t *testing.T) {
-	ctx, f := deploy(t)
+// A failure domain is isolated from all others and from the platform. It must refuse
+// non-idempotent requests first, and later all requests, each as not run and with
+// outcome KeyStale, and serve again when the partition ends. The other failure domains
+// must keep serving, and report the host and the failure domain that they do not
+// receive heartbeats from.
+func TestIsolatedDomainRefusesStaleKeys(t *testing.T) {
+	ctx, f := startFleet(t)
 	const h = "abuja-1-a"
 	refused := func(method, id string) func() bool {
 		return func() bool {
@@ -183,19 +187,19 @@
 			return err == nil && c == http.StatusOK
 		}
 	}
-	must.NoError(t, f.Await(ctx, "an answer", served(h)))
+	must.NoError(t, f.Await(ctx, "an OK response", served(h)))
 	for _, p := range []string{"lagos", fleet.PlatformPlace} {
 		f.Cut("abuja", p)
 	}
 	must.NoError(t, f.Await(ctx, "KeyStale for a POST", refused(http.MethodPost, "1")))
 	must.NoError(t, f.Await(ctx, "KeyStale for a GET", refused(http.MethodGet, "")))
-	must.NoError(t, f.Await(ctx, "an answer elsewhere", served("lagos-1-a")))
-	must.NoError(t, f.Await(ctx, "the report", func() bool {
+	must.NoError(t, f.Await(ctx, "an OK response in another failure domain", served("lagos-1-a")))
+	must.NoError(t, f.Await(ctx, "the report of silent hosts", func() bool {
 		s, err := f.Status(ctx, "lagos-1-a")
 		return err == nil && len(s.InForce.Silent) == 1 && len(s.InForce.SilentDomains) == 1 && s.InForce.SilentDomains[0] == "abuja-1"
 	}))
 	for _, p := range []string{"lagos", fleet.PlatformPlace} {
 		f.Heal("abuja", p)
 	}
-	must.NoError(t, f.Await(ctx, "an answer after healing", served(h)))
+	must.NoError(t, f.Await(ctx, "an OK response after the partition", served(h)))
 }
--- a/separation/hostlist_test.go
+++ b/separation/hostlist_test.go
@@ -18,11 +18,11 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// For a minute the platform's list names host "dead", which is gone, and does
-// not name host "new", which runs. A caller's look-up on host "a" must name the
-// hosts that answer heartbeats: "c", which is on the list, and "new", of which
-// "c" tells; never "dead".
-func TestHostListLags(t *testing.T) {
+// The platform's host list is outdated for a minute: it contains host "dead", which no
+// longer runs, and lacks host "new", which does. A look-up on host "a" must return the hosts
+// that answer heartbeats, which are "c" from the list and "new", known through the
+// heartbeats of "c". It must never return "dead".
+func TestOutdatedHostList(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	ctx, f := context.WithCancel(context.Background())
 	var mu sync.Mutex
@@ -39,7 +39,7 @@
 			defer mu.Unlock()
 			beats[to]++
 			if to == "dead" {
-				return nil, errCut
+				return nil, errUnreachable
 			}
 			return &wire.Heartbeat{
 				From:  &wire.Host{Name: to, PeerAddress: to, CallerAddress: to, Region: "lagos", Incarnation: 1},
@@ -49,9 +49,10 @@
 	}
 	d := make(chan error, 1)
 	go func() { d <- m.Run(ctx) }()
-	// The clock may run ahead of the goroutines that send heartbeats, by more than
-	// Hold on a busy machine. So both hosts are waited for, and at no moment may
-	// anybody else be named.
+	// On a busy machine the fake clock may run ahead of the goroutines that send
+	// heartbeats by more than Hold, so that live hosts are missing for a while. The
+	// loop therefore waits for both hosts, and checks each time that no other host
+	// is returned.
 	tried := func() bool {
 		mu.Lock()
 		defer mu.Unlock()
--- a/separation/scenario_test.go
+++ b/separation/scenario_test.go
@@ -24,125 +24,138 @@
 	"celeryreach.example/celeryreach/table"
 )
 
-// worldKey finds the world of a script.
-type worldKey struct{}
+// clusterKey is the key of a script's cluster in the testscript environment.
+type clusterKey struct{}
 
-// script is one running script: its world and what it may use.
+// script is a running script and the cluster that it acts on.
 type script struct {
 	*testscript.TestScript
-	world *world
+	cluster *cluster
 }
 
-// TestScenarios plays the sessions of testdata. Each opens with what callers
-// and operators see, what happens in what order, and why.
+// TestScenarios runs the scripts in testdata. Each begins with comments on the failure
+// that it simulates and its effects for callers and operators.
 func TestScenarios(t *testing.T) {
 	c := make(map[string]func(t *testscript.TestScript, neg bool, args []string))
 	for n, f := range map[string]func(s script, args []string){
-		"hosts": hosts, "restart": restart, "stop": stop, "cut": cut, "part": part, "heal": heal, "store": storeKnob,
-		"round": round, "poll": poll, "lease": leaseStep, "plan": publishPlan, "resume": resumePlan, "plans": plans, "wipe": wipe, "forks": forks, "advance": advance, "report": report, "commit": commitChange, "race": race, "show": show, "admit": admit, "torn": torn,
+		"hosts": startHosts, "restart": restartHosts, "stop": stopHosts, "cut": blockLink, "part": partition, "heal": healLinks, "store": setStore,
+		"round": runRounds, "poll": pollHosts, "lease": stepLeases, "plan": publishPlan, "resume": resumePlan, "plans": printPlans, "wipe": resetTable, "forks": printContentConflicts, "advance": advanceClock, "report": printOutput, "commit": commitChange, "race": raceCommit, "show": printVersions, "admit": printAdmission, "torn": truncateContent,
 	} {
 		c[n] = func(t *testscript.TestScript, _ bool, args []string) {
-			f(script{TestScript: t, world: t.Value(worldKey{}).(*world)}, args)
+			f(script{TestScript: t, cluster: t.Value(clusterKey{}).(*cluster)}, args)
 		}
 	}
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata", Cmds: c, UpdateScripts: os.Getenv("UPDATE") != "",
 		Setup: func(e *testscript.Env) error {
-			e.Values[worldKey{}] = newWorld()
+			e.Values[clusterKey{}] = newCluster()
 			return nil
 		},
 	})
 }
 
+// print adds a line to the output that the next "report" command shows.
 func (s script) print(format string, args ...any) {
-	fmt.Fprintf(&s.world.out, format+"\n", args...)
+	fmt.Fprintf(&s.cluster.output, format+"\n", args...)
 }
 
-// report shows what the commands since the last report have printed.
-func report(s script, _ []string) {
-	_, err := s.world.out.WriteTo(s.Stdout())
+// printOutput writes the output of the commands since the previous report to the
+// script's standard output: report.
+func printOutput(s script, _ []string) {
+	_, err := s.cluster.output.WriteTo(s.Stdout())
 	s.Check(err)
 }
 
-// hosts starts hosts, each written as name@domain@region.
-func hosts(s script, args []string) {
+// startHosts starts hosts: hosts NAME@DOMAIN@REGION...
+func startHosts(s script, args []string) {
 	for _, a := range args {
 		p := strings.Split(a, "@")
-		s.world.start(p[0], p[1], p[2])
+		s.cluster.startHost(p[0], p[1], p[2])
 	}
 }
 
-func restart(s script, args []string) {
+// restartHosts replaces the processes of hosts: restart HOST...
+func restartHosts(s script, args []string) {
 	for _, n := range args {
-		m := s.world.hosts[n].self
-		s.world.start(n, m.Domain, m.Region)
+		m := s.cluster.hosts[n].self
+		s.cluster.startHost(n, m.Domain, m.Region)
 	}
 }
 
-func stop(s script, args []string) {
+// stopHosts removes hosts: stop HOST|DOMAIN|REGION...
+func stopHosts(s script, args []string) {
 	for _, a := range args {
-		for _, n := range s.world.members(a) {
-			delete(s.world.hosts, n)
+		for _, n := range s.cluster.hostsIn(a) {
+			delete(s.cluster.hosts, n)
 		}
 	}
 }
 
-// cut loses what the first sends to the second.
-func cut(s script, args []string) {
-	s.world.cut(args[0], args[1])
+// blockLink drops all messages from the first to the second: cut FROM TO.
+func blockLink(s script, args []string) {
+	s.cluster.block(args[0], args[1])
 }
 
-// part cuts both directions.
-func part(s script, args []string) {
-	s.world.cut(args[0], args[1])
-	s.world.cut(args[1], args[0])
+// partition drops all messages in both directions: part A B.
+func partition(s script, args []string) {
+	s.cluster.block(args[0], args[1])
+	s.cluster.block(args[1], args[0])
 }
 
-func heal(s script, _ []string) {
-	clear(s.world.cuts)
+// healLinks unblocks all links: heal.
+func healLinks(s script, _ []string) {
+	clear(s.cluster.blocked)
 }
 
-func storeKnob(s script, args []string) {
+// setStore makes the store fail, work again, or lose its answer to the next commit:
+// store down|up|lose.
+func setStore(s script, args []string) {
 	switch args[0] {
 	case "down", "up":
-		s.world.down = args[0] == "down"
+		s.cluster.storeDown = args[0] == "down"
 	case "lose":
-		s.world.lose = 1
+		s.cluster.loseAnswers = 1
 	}
 }
 
-func torn(s script, args []string) {
-	s.world.torn[args[0]] = true
+// truncateContent makes the platform or a host return only half of each content:
+// torn platform|HOST.
+func truncateContent(s script, args []string) {
+	s.cluster.truncated[args[0]] = true
 }
 
-func round(s script, args []string) {
-	for range number(s, args[0]) {
-		s.world.round()
+// runRounds runs rounds of heartbeats: round COUNT.
+func runRounds(s script, args []string) {
+	for range parseInt(s, args[0]) {
+		s.cluster.runRound()
 	}
 }
 
-func poll(s script, args []string) {
+// pollHosts makes hosts read the accepted version from the platform:
+// poll HOST|DOMAIN|REGION...
+func pollHosts(s script, args []string) {
 	for _, a := range args {
-		for _, n := range s.world.members(a) {
-			_ = s.world.hosts[n].poll()
+		for _, n := range s.cluster.hostsIn(a) {
+			_ = s.cluster.hosts[n].poll()
 		}
 	}
 }
 
-func advance(s script, args []string) {
+func advanceClock(s script, args []string) {
 	d, err := time.ParseDuration(args[0])
 	s.Check(err)
-	s.world.clock.Advance(d)
+	s.cluster.clock.Advance(d)
 }
 
-// commitChange makes a change on a host: commit HOST EDIT ARGS...
+// commitChange commits a configuration change through a host:
+// commit HOST EDIT ARGS...
 func commitChange(s script, args []string) {
-	h := s.world.hosts[args[0]]
+	h := s.cluster.hosts[args[0]]
 	commitFrom(s, h, h.version(), args[1:])
 }
 
-func commitFrom(s script, h *node, from uint64, e []string) {
-	a, ok, err := h.commit(from, func(c *config.Config) { edit(s, c, e) })
+func commitFrom(s script, h *testHost, from uint64, e []string) {
+	a, ok, err := h.commit(from, func(c *config.Config) { editConfig(s, c, e) })
 	switch {
 	case err != nil:
 		s.print("%s: %s", h.self.Name, err)
@@ -150,8 +163,8 @@
 		s.print("%s: accepted %d", h.self.Name, a.Version)
 	default:
 		c := *h.follower.Snapshot().Config
-		edit(s, &c, e)
-		x := (&change.Change{Platform: h.world.platform(h.self.Name)}).Explain(context.Background(), from, c, a)
+		editConfig(s, &c, e)
+		x := (&change.Change{Platform: h.cluster.platform(h.self.Name)}).Explain(context.Background(), from, c, a)
 		s.print("%s: conflict, %d is accepted", h.self.Name, x.Accepted)
 		for _, d := range x.Theirs {
 			s.print("  theirs %s: %s -> %s", d.Path, d.Old, d.New)
@@ -162,21 +175,22 @@
 	}
 }
 
-// race loses the answer of the next commit and lets another host follow it
-// before the answer is read back: race HOST EDIT ARGS...
-func race(s script, args []string) {
-	s.world.lose = 1
-	s.world.next = func() {
-		h := s.world.hosts[args[0]]
+// raceCommit makes the store lose its answer to the next commit, and commits a change
+// through another host before the first one reads the row back:
+// race HOST EDIT ARGS...
+func raceCommit(s script, args []string) {
+	s.cluster.loseAnswers = 1
+	s.cluster.onLostAnswer = func() {
+		h := s.cluster.hosts[args[0]]
 		_ = h.poll()
 		commitFrom(s, h, h.version(), args[1:])
 	}
 }
 
-func edit(s script, c *config.Config, e []string) {
+func editConfig(s script, c *config.Config, e []string) {
 	switch e[0] {
 	case "create":
-		*c = initial()
+		*c = initialConfig()
 	case "preset":
 		c.Preset = e[1]
 	case "withdraw":
@@ -191,14 +205,14 @@
 		a := append([]account.Account(nil), c.Accounts...)
 		for i := range a {
 			if a[i].Name == e[1] {
-				a[i].Rate = float64(number(s, e[2]))
+				a[i].Rate = float64(parseInt(s, e[2]))
 			}
 		}
 		c.Accounts = a
 	}
 }
 
-func initial() config.Config {
+func initialConfig() config.Config {
 	return config.Config{
 		Preset:       "Ordinary",
 		Regions:      []region.Region{{Name: "lagos"}, {Name: "abuja"}},
@@ -209,15 +223,16 @@
 	}
 }
 
-func leaseStep(s script, args []string) {
+// stepLeases makes hosts renew or acquire the lease once: lease HOST...
+func stepLeases(s script, args []string) {
 	for _, n := range args {
-		s.world.hosts[n].stepLease()
+		s.cluster.hosts[n].stepLease()
 	}
 }
 
-// publishPlan makes a plan if the host holds the lease: plan HOST REASON.
+// publishPlan publishes a plan if the host holds the lease: plan HOST REASON.
 func publishPlan(s script, args []string) {
-	h := s.world.hosts[args[0]]
+	h := s.cluster.hosts[args[0]]
 	e, ok := h.lease.Held()
 	if !ok {
 		s.print("%s: does not hold the lease", args[0])
@@ -227,41 +242,43 @@
 	s.print("%s: plan %d, accepted %t, error %v", args[0], a.Version, ok, err)
 }
 
-// resumePlan goes on behind the question whether the lease is held, as a
-// process does that was paused there: resume HOST REASON.
+// resumePlan publishes a plan without checking that the host holds the lease. It
+// simulates a process that was paused after the check: resume HOST REASON.
 func resumePlan(s script, args []string) {
-	h := s.world.hosts[args[0]]
+	h := s.cluster.hosts[args[0]]
 	e, _ := h.lease.Held()
 	_, ok, err := h.publish(e, args[1])
 	s.print("%s: accepted %t, error %v", args[0], ok, err)
 }
 
-// plans prints the plan on each host.
-func plans(s script, _ []string) {
-	for _, n := range s.world.names() {
-		if p := s.world.hosts[n].plans.Plan(); p != nil {
+// printPlans prints each host's current plan: plans.
+func printPlans(s script, _ []string) {
+	for _, n := range s.cluster.hostNames() {
+		if p := s.cluster.hosts[n].plans.Plan(); p != nil {
 			s.print("%s: plan %d of epoch %d: %s", n, p.Version, p.Epoch, p.Reason)
 		}
 	}
 }
 
-// wipe makes the platform forget its rows, as a restore from an old copy does.
-func wipe(s script, _ []string) {
-	s.world.table = new(table.Table)
+// resetTable removes all rows of the platform's table, as a restore from an old
+// backup would: wipe.
+func resetTable(s script, _ []string) {
+	s.cluster.table = new(table.Table)
 }
 
-// forks prints the hosts that have seen another content under their version.
-func forks(s script, _ []string) {
-	for _, n := range s.world.names() {
-		s.print("%s: other contents seen %t", n, s.world.hosts[n].follower.Replica().Forked() > 0)
+// printContentConflicts prints for each host whether it has received a different
+// content under the same version: forks.
+func printContentConflicts(s script, _ []string) {
+	for _, n := range s.cluster.hostNames() {
+		s.print("%s: other contents seen %t", n, s.cluster.hosts[n].follower.Replica().Forked() > 0)
 	}
 }
 
-// show prints the version on each host.
-func show(s script, _ []string) {
-	for _, n := range s.world.names() {
+// printVersions prints each host's configuration version and preset: show.
+func printVersions(s script, _ []string) {
+	for _, n := range s.cluster.hostNames() {
 		v := "none"
-		h := s.world.hosts[n]
+		h := s.cluster.hosts[n]
 		if c := h.follower.Snapshot(); c != nil {
 			v = fmt.Sprintf("%d %s", c.Config.Version, c.Config.Preset)
 		}
@@ -269,9 +286,10 @@
 	}
 }
 
-// admit shows what a caller with a key gets: admit HOST KEY METHOD...
-func admit(s script, args []string) {
-	h := s.world.hosts[args[0]]
+// printAdmission prints whether a host admits requests with a key:
+// admit HOST KEY METHOD...
+func printAdmission(s script, args []string) {
+	h := s.cluster.hosts[args[0]]
 	a := &admission.Admission{Snapshot: h.follower.Snapshot, Stale: func(n bool) bool {
 		return h.freshness.Stale(h.follower.Snapshot().Config.KeyStaleness, n)
 	}}
@@ -288,7 +306,7 @@
 	}
 }
 
-func number(s script, v string) int {
+func parseInt(s script, v string) int {
 	n, err := strconv.Atoi(v)
 	s.Check(err)
 	return n
--- a/separation/version_test.go
+++ b/separation/version_test.go
@@ -15,19 +15,21 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// healRounds is how many rounds of heartbeats after healing, and after one read
-// of the platform by any host, all hosts have the same version: one second in
-// which a peer that failed is left alone, and two rounds.
-const healRounds = 7
+// convergenceRounds is the number of heartbeat rounds within which all hosts have the
+// same version, once the network works again and one host has read the platform. It
+// covers the second in which a peer is not retried after a failure (five rounds), and
+// two more rounds.
+const convergenceRounds = 7
 
 var verbs = []string{"commit", "commit", "lose", "poll", "beat", "round", "cut", "heal", "restart", "store", "torn"}
 
-// action is one step of a schedule.
+// action is one step of a random schedule. A and B select hosts or the platform.
 type action struct {
 	Verb string
 	A, B int
 }
 
+// schedules generates random schedules.
 func schedules() *rapid.Generator[[]action] {
 	a := rapid.Custom(func(t *rapid.T) action {
 		return action{
@@ -38,34 +40,36 @@
 	return rapid.SliceOfN(a, 1, 60)
 }
 
-// What callers see: a key that was withdrawn, or a rate that was lowered, works
-// again on one host. In any order of commits whose answers may be lost, reads,
-// relays, restarts, one-way cuts, torn contents and outages of the store, no
-// process's version may fall, one version may have only one content, and after
-// healing all hosts must have the newest version within healRounds.
-func TestVersionNeverFalls(t *testing.T) {
+// If a host's configuration went back to an older version, a withdrawn key or a
+// previous, higher rate would apply again on that host. The schedules mix commits with
+// lost answers, reads, relays, restarts, one-way partitions, truncated contents and
+// store outages. No process's version may decrease, a version may have only one
+// content, and after all faults end every host must have the newest version within
+// convergenceRounds.
+func TestVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		must.NoError(t, play(schedules().Draw(t, "schedule"), false))
+		must.NoError(t, runSchedule(schedules().Draw(t, "schedule"), false))
 	})
 }
 
-// A host that takes over whatever it hears last, as a host without the
-// comparison of versions would, is caught by the same check.
-func TestVersionFallIsCaught(t *testing.T) {
+// The check of TestVersionNeverDecreases must detect a faulty host that adopts
+// whatever version it receives last, without comparing versions.
+func TestVersionDecreaseIsDetected(t *testing.T) {
 	for i := range 200 {
-		if play(schedules().Example(i), true) != nil {
+		if runSchedule(schedules().Example(i), true) != nil {
 			return
 		}
 	}
-	t.Fatal("no schedule caught the broken variant")
+	t.Fatal("no schedule detected the faulty variant")
 }
 
-// play runs a schedule and returns the first broken promise.
-func play(s []action, broken bool) error {
-	w := newWorld()
+// runSchedule runs a schedule on four hosts and returns the first violated invariant.
+// With broken set, the hosts adopt any version that they receive.
+func runSchedule(s []action, broken bool) error {
+	w := newCluster()
 	n := []string{"a", "b", "c", "d", platformName}
 	for i, k := range n[:4] {
-		w.start(k, fmt.Sprintf("domain-%d", i/2), "lagos").keeps = broken
+		w.startHost(k, fmt.Sprintf("domain-%d", i/2), "lagos").acceptsAny = broken
 	}
 	c := newChecker()
 	for i, x := range s {
@@ -74,84 +78,86 @@
 			return errors.Wrapf(err, "after step %d, %v", i, x)
 		}
 	}
-	clear(w.cuts)
-	clear(w.torn)
-	w.down = false
-	w.lose = 0
+	clear(w.blocked)
+	clear(w.truncated)
+	w.storeDown = false
+	w.loseAnswers = 0
 	if err := w.hosts["a"].poll(); err != nil {
 		return err
 	}
-	for range healRounds {
-		w.round()
+	for range convergenceRounds {
+		w.runRound()
 	}
 	if err := c.check(w); err != nil {
-		return errors.Wrap(err, "after healing")
+		return errors.Wrap(err, "after all faults ended")
 	}
-	for _, k := range w.names() {
+	for _, k := range w.hostNames() {
 		if v, a := w.hosts[k].version(), w.accepted().Version; v != a {
-			return errors.Errorf("%s has version %d after healing, accepted is %d", k, v, a)
+			return errors.Errorf("%s has version %d after all faults ended, the accepted version is %d", k, v, a)
 		}
 	}
 	return nil
 }
 
-func (w *world) step(x action, n []string, broken bool) {
+// step performs one action of a schedule.
+func (w *cluster) step(x action, n []string, broken bool) {
 	k := n[x.A%4]
 	h := w.hosts[k]
 	switch x.Verb {
 	case "commit":
 		_, _, _ = h.commit(h.version(), func(c *config.Config) { c.Preset = fmt.Sprint(k, len(w.objects)) })
 	case "lose":
-		w.lose = 1
+		w.loseAnswers = 1
 	case "poll":
 		_ = h.poll()
 	case "beat":
 		if o := w.hosts[n[x.B%4]]; o != h {
-			h.beat(o)
+			h.sendHeartbeat(o)
 			h.relay.Pass(context.Background())
 		}
 	case "round":
-		w.round()
+		w.runRound()
 	case "cut":
-		w.cuts[[2]string{n[x.A], n[x.B]}] = true
+		w.blocked[[2]string{n[x.A], n[x.B]}] = true
 	case "heal":
-		clear(w.cuts)
+		clear(w.blocked)
 	case "restart":
-		w.start(k, h.self.Domain, h.self.Region).keeps = broken
+		w.startHost(k, h.self.Domain, h.self.Region).acceptsAny = broken
 	case "store":
-		w.down = !w.down
+		w.storeDown = !w.storeDown
 	case "torn":
-		w.torn[n[x.A]] = !w.torn[n[x.A]]
+		w.truncated[n[x.A]] = !w.truncated[n[x.A]]
 	}
 }
 
-func (w *world) accepted() (a accepted.Accepted) {
+// accepted returns the accepted configuration version on the platform.
+func (w *cluster) accepted() (a accepted.Accepted) {
 	if r := w.table.Read(accepted.RowKey); r.Version > 0 {
 		_ = codec.Unmarshal(r.Value, &a)
 	}
 	return a
 }
 
-// checker remembers what each process had and what each version was.
+// checker records the version of each process and the content hash of each version.
 type checker struct {
-	had    map[*node]uint64
-	hashes map[uint64]string
+	versions map[*testHost]uint64
+	hashes   map[uint64]string
 }
 
 func newChecker() *checker {
-	return &checker{had: make(map[*node]uint64), hashes: make(map[uint64]string)}
+	return &checker{versions: make(map[*testHost]uint64), hashes: make(map[uint64]string)}
 }
 
-func (c *checker) check(w *world) error {
-	for _, k := range w.names() {
+func (c *checker) check(w *cluster) error {
+	for _, k := range w.hostNames() {
 		h := w.hosts[k]
 		d := h.follower.Replica().Digest()
-		if d.Version < c.had[h] {
-			return errors.Errorf("%s fell from version %d to %d", k, c.had[h], d.Version)
+		if d.Version < c.versions[h] {
+			return errors.Errorf("version of %s decreased from %d to %d", k, c.versions[h], d.Version)
 		}
-		c.had[h] = d.Version
+		c.versions[h] = d.Version
 		if o, ok := c.hashes[d.Version]; ok && o != d.Hash {
-			return errors.Errorf("version %d has two contents", d.Version)
+			return errors.Errorf("version %d has two different contents", d.Version)
 		}
 		c.hashes[d.Version] = d.Hash
 		if d.Version > w.accepted().Version {
@@ -161,15 +167,16 @@
 	return nil
 }
 
-// overwrite is the broken variant: it takes what a peer has, higher or lower.
-func (n *node) overwrite(from string, v *wire.Version) {
-	_, h, b := n.world.hosts[from].follower.Content()
+// adoptContent is the faulty variant of a host: it takes a peer's configuration even
+// if its version is lower.
+func (n *testHost) adoptContent(from string, v *wire.Version) {
+	_, h, b := n.cluster.hosts[from].follower.Content()
 	if v.Version == 0 || v.Version == n.version() {
 		return
 	}
-	o := n.world.start(n.self.Name, n.self.Domain, n.self.Region)
+	o := n.cluster.startHost(n.self.Name, n.self.Domain, n.self.Region)
 	_ = o.follower.Offer(v.Version, h, b)
 	n.follower = o.follower
 	n.relay = o.relay
-	n.world.hosts[n.self.Name] = n
+	n.cluster.hosts[n.self.Name] = n
 }
--- a/separation/world_test.go
+++ b/separation/world_test.go
@@ -34,60 +34,61 @@
 )
 
 const (
-	platformName = "platform"
-	hold         = 3 * time.Second
-	beat         = 200 * time.Millisecond
+	platformName      = "platform"
+	holdTime          = 3 * time.Second
+	heartbeatInterval = 200 * time.Millisecond
 )
 
-var errCut = errors.New("cut")
+var errUnreachable = errors.New("cut")
 
-// world is a set of hosts in one process, with a network that can be cut in
-// one direction and a platform that can be down or lose its answers.
-type world struct {
-	clock   *clockwork.FakeClock
-	table   *table.Table
-	objects map[string][]byte
-	hosts   map[string]*node
-	cuts    map[[2]string]bool
-	down    bool
-	lose    int
-	torn    map[string]bool
-	out     bytes.Buffer
-	next    func() // runs between a lost answer and the reading back
+// cluster simulates a set of hosts, the network between them and the platform in one
+// process. Network links can fail in one direction, and the platform can be down,
+// lose its answers or truncate contents.
+type cluster struct {
+	clock        *clockwork.FakeClock
+	table        *table.Table
+	objects      map[string][]byte
+	hosts        map[string]*testHost
+	blocked      map[[2]string]bool // links, by sender and receiver
+	storeDown    bool
+	loseAnswers  int             // number of commits whose answer is lost
+	truncated    map[string]bool // the platform or hosts that return half of a content
+	output       bytes.Buffer
+	onLostAnswer func() // runs after an answer is lost, before the row is read back
 }
 
-// node is one host: what it has and what it has heard.
-type node struct {
-	world     *world
-	self      member.Member
-	follower  *follower.Follower
-	relay     *relay.Relay
-	freshness *freshness.Freshness
-	plans     *planfollower.Planfollower
-	lease     *lease.Lease
-	ended     context.CancelFunc // ends the lease's loop after one step
-	heard     map[string]time.Time
-	keeps     bool // takes whatever comes last: the broken variant
+// testHost is one host: its replicated contents and the state received from others.
+type testHost struct {
+	cluster      *cluster
+	self         member.Member
+	follower     *follower.Follower
+	relay        *relay.Relay
+	freshness    *freshness.Freshness
+	plans        *planfollower.Planfollower
+	lease        *lease.Lease
+	cancelLease  context.CancelFunc   // ends the lease's loop at its first wait
+	lastReceived map[string]time.Time // last heartbeat, by host
+	acceptsAny   bool                 // faulty variant: adopts any version that it receives
 }
 
-func newWorld() *world {
-	return &world{
+func newCluster() *cluster {
+	return &cluster{
 		clock: clockwork.NewFakeClock(), table: new(table.Table), objects: make(map[string][]byte),
-		hosts: make(map[string]*node), cuts: make(map[[2]string]bool), torn: make(map[string]bool),
+		hosts: make(map[string]*testHost), blocked: make(map[[2]string]bool), truncated: make(map[string]bool),
 	}
 }
 
-// start adds a host or replaces the process of that name.
-func (w *world) start(name, domain, region string) *node {
-	n := &node{
-		world: w, self: member.Member{Name: name, Domain: domain, Region: region, PeerAddress: name, CallerAddress: name},
-		freshness: &freshness.Freshness{Clock: w.clock}, heard: make(map[string]time.Time),
+// startHost adds a host, or replaces the process of the host with that name.
+func (w *cluster) startHost(name, domain, region string) *testHost {
+	n := &testHost{
+		cluster: w, self: member.Member{Name: name, Domain: domain, Region: region, PeerAddress: name, CallerAddress: name},
+		freshness: &freshness.Freshness{Clock: w.clock}, lastReceived: make(map[string]time.Time),
 	}
 	l := log.New(io.Discard)
 	n.follower = &follower.Follower{Clock: w.clock, Log: l, Platform: w.platform(name)}
 	n.plans = &planfollower.Planfollower{Clock: w.clock, Log: l, Platform: w.platform(name)}
 	n.lease = &lease.Lease{
-		Clock: once{FakeClock: w.clock, node: n}, Platform: w.platform(name), Name: "lease/planner",
+		Clock: singleWaitClock{FakeClock: w.clock, host: n}, Platform: w.platform(name), Name: "lease/planner",
 		Holder: fmt.Sprint(name, len(w.objects)), Term: 15 * time.Second,
 	}
 	n.relay = &relay.Relay{
@@ -99,7 +100,7 @@
 	return n
 }
 
-func (w *world) names() []string {
+func (w *cluster) hostNames() []string {
 	var r []string
 	for n := range w.hosts {
 		r = append(r, n)
@@ -108,13 +109,14 @@
 	return r
 }
 
-// members expands a host, a failure domain or a region to hosts.
-func (w *world) members(s string) []string {
+// hostsIn returns the hosts that a host, failure domain or region name stands for. The
+// platform stands for itself.
+func (w *cluster) hostsIn(s string) []string {
 	if s == platformName {
 		return []string{platformName}
 	}
 	var r []string
-	for _, n := range w.names() {
+	for _, n := range w.hostNames() {
 		m := w.hosts[n].self
 		if s == n || s == m.Domain || s == m.Region {
 			r = append(r, n)
@@ -123,35 +125,36 @@
 	return r
 }
 
-// cut loses what a sends to b.
-func (w *world) cut(a, b string) {
-	for _, x := range w.members(a) {
-		for _, y := range w.members(b) {
-			w.cuts[[2]string{x, y}] = true
+// block drops all messages from a to b.
+func (w *cluster) block(a, b string) {
+	for _, x := range w.hostsIn(a) {
+		for _, y := range w.hostsIn(b) {
+			w.blocked[[2]string{x, y}] = true
 		}
 	}
 }
 
-// call runs f at the called side unless the way there is cut, and loses the
-// answer if the way back is.
-func (w *world) call(a, b string, f func()) error {
-	if w.cuts[[2]string{a, b}] {
-		return errCut
+// call performs a call from a to b, which runs f. It fails without running f if the
+// link from a to b is blocked, and after running f if the link back is.
+func (w *cluster) call(a, b string, f func()) error {
+	if w.blocked[[2]string{a, b}] {
+		return errUnreachable
 	}
 	if b != platformName && w.hosts[b] == nil {
-		return errCut
+		return errUnreachable
 	}
 	f()
-	if w.cuts[[2]string{b, a}] {
-		return errCut
+	if w.blocked[[2]string{b, a}] {
+		return errUnreachable
 	}
 	return nil
 }
 
-func (w *world) platform(name string) store.Store {
+// platform returns the store as the named host reaches it.
+func (w *cluster) platform(name string) store.Store {
 	call := func(f func()) error {
-		if w.down {
-			return errCut
+		if w.storeDown {
+			return errUnreachable
 		}
 		return w.call(name, platformName, f)
 	}
@@ -162,13 +165,13 @@
 		},
 		Commit: func(_ context.Context, c commit.Commit) (ok bool, err error) {
 			err = call(func() { ok = w.table.Commit(c) })
-			if w.lose > 0 {
-				w.lose--
-				if f := w.next; f != nil {
-					w.next = nil
+			if w.loseAnswers > 0 {
+				w.loseAnswers--
+				if f := w.onLostAnswer; f != nil {
+					w.onLostAnswer = nil
 					f()
 				}
-				return false, errCut
+				return false, errUnreachable
 			}
 			return ok, err
 		},
@@ -179,7 +182,7 @@
 			if err := call(func() { b = slices.Clone(w.objects[k]) }); err != nil {
 				return nil, err
 			}
-			if w.torn[platformName] && len(b) > 0 {
+			if w.truncated[platformName] && len(b) > 0 {
 				b = b[:len(b)/2]
 			}
 			return b, nil
@@ -187,24 +190,25 @@
 	}
 }
 
-// round lets every host beat to every other one and then relay, in order.
-func (w *world) round() {
-	w.clock.Advance(beat)
-	for _, a := range w.names() {
-		for _, b := range w.names() {
+// runRound makes every host exchange heartbeats with every other host and then relay
+// new versions, in the order of their names.
+func (w *cluster) runRound() {
+	w.clock.Advance(heartbeatInterval)
+	for _, a := range w.hostNames() {
+		for _, b := range w.hostNames() {
 			if a != b {
-				w.hosts[a].beat(w.hosts[b])
+				w.hosts[a].sendHeartbeat(w.hosts[b])
 			}
 		}
 	}
-	for _, a := range w.names() {
+	for _, a := range w.hostNames() {
 		w.hosts[a].relay.Pass(context.Background())
 	}
 }
 
-func (n *node) beat(o *node) {
+func (n *testHost) sendHeartbeat(o *testHost) {
 	var a *wire.Heartbeat
-	err := n.world.call(n.self.Name, o.self.Name, func() {
+	err := n.cluster.call(n.self.Name, o.self.Name, func() {
 		o.receive(n.compose())
 		a = o.compose()
 	})
@@ -213,7 +217,7 @@
 	}
 }
 
-func (n *node) compose() *wire.Heartbeat {
+func (n *testHost) compose() *wire.Heartbeat {
 	m := n.self
 	return &wire.Heartbeat{
 		From:     &wire.Host{Name: m.Name, Domain: m.Domain, Region: m.Region, PeerAddress: m.PeerAddress},
@@ -221,45 +225,46 @@
 	}
 }
 
-func (n *node) receive(h *wire.Heartbeat) {
-	n.heard[h.From.Name] = n.world.clock.Now()
+func (n *testHost) receive(h *wire.Heartbeat) {
+	n.lastReceived[h.From.Name] = n.cluster.clock.Now()
 	if h.From.Domain == n.self.Domain {
 		n.freshness.Heard(h.KeyAgeNanoseconds)
 	} else {
 		n.freshness.Seen()
 	}
 	n.relay.Heard(h.From.Name, h.Versions)
-	if n.keeps {
-		n.overwrite(h.From.Name, h.Versions[0])
+	if n.acceptsAny {
+		n.adoptContent(h.From.Name, h.Versions[0])
 	}
 }
 
-func (n *node) alive() []member.Member {
+// alive returns the hosts from which a heartbeat arrived within holdTime.
+func (n *testHost) alive() []member.Member {
 	var r []member.Member
-	for _, k := range n.world.names() {
-		t, ok := n.heard[k]
-		if ok && n.world.clock.Since(t) <= hold {
-			r = append(r, n.world.hosts[k].self)
+	for _, k := range n.cluster.hostNames() {
+		t, ok := n.lastReceived[k]
+		if ok && n.cluster.clock.Since(t) <= holdTime {
+			r = append(r, n.cluster.hosts[k].self)
 		}
 	}
 	return r
 }
 
-func (n *node) fetch(_ context.Context, to string, f *wire.FetchRequest) (a *wire.FetchResponse, err error) {
-	err = n.world.call(n.self.Name, to, func() { a = n.world.hosts[to].relay.Answer(f) })
-	if err == nil && n.world.torn[to] && len(a.Content) > 0 {
+func (n *testHost) fetch(_ context.Context, to string, f *wire.FetchRequest) (a *wire.FetchResponse, err error) {
+	err = n.cluster.call(n.self.Name, to, func() { a = n.cluster.hosts[to].relay.Answer(f) })
+	if err == nil && n.cluster.truncated[to] && len(a.Content) > 0 {
 		a = &wire.FetchResponse{Version: a.Version, Hash: a.Hash, Total: a.Total / 2, Content: a.Content[:a.Total/2]}
 	}
 	return a, err
 }
 
-func (n *node) notify(_ context.Context, to string, m *wire.Notice) (a *wire.Notice, err error) {
-	err = n.world.call(n.self.Name, to, func() { a = n.world.hosts[to].relay.Receive(m) })
+func (n *testHost) notify(_ context.Context, to string, m *wire.Notice) (a *wire.Notice, err error) {
+	err = n.cluster.call(n.self.Name, to, func() { a = n.cluster.hosts[to].relay.Receive(m) })
 	return a, err
 }
 
-// poll reads the platform.
-func (n *node) poll() error {
+// poll reads the accepted configuration version from the platform.
+func (n *testHost) poll() error {
 	err := n.follower.Replica().Poll(context.Background())
 	if err == nil {
 		n.freshness.Seen()
@@ -267,10 +272,11 @@
 	return err
 }
 
-// commit makes a change from the version that the host has.
-func (n *node) commit(from uint64, edit func(c *config.Config)) (accepted.Accepted, bool, error) {
+// commit edits the host's current configuration and commits it as the successor of
+// version from.
+func (n *testHost) commit(from uint64, edit func(c *config.Config)) (accepted.Accepted, bool, error) {
 	k := &change.Change{
-		Platform: n.world.platform(n.self.Name), Clock: instant{n.world.clock},
+		Platform: n.cluster.platform(n.self.Name), Clock: instantClock{n.cluster.clock},
 		Accepted: func(a accepted.Accepted, b []byte) { _ = n.follower.Offer(a.Version, a.Hash, b) },
 	}
 	var c config.Config
@@ -281,19 +287,19 @@
 	return k.Commit(context.Background(), from, c)
 }
 
-func (n *node) version() uint64 {
+func (n *testHost) version() uint64 {
 	return n.follower.Replica().Digest().Version
 }
 
-// stepLease lets the lease renew or take the row once.
-func (n *node) stepLease() {
+// stepLease makes the lease renew or acquire its row once.
+func (n *testHost) stepLease() {
 	c, f := context.WithCancel(context.Background())
-	n.ended = f
+	n.cancelLease = f
 	_ = n.lease.Run(c)
 }
 
-// publish makes a plan the accepted one on condition of the lease.
-func (n *node) publish(epoch uint64, reason string) (accepted.Accepted, bool, error) {
+// publish commits a plan on the condition that the lease's fence still holds.
+func (n *testHost) publish(epoch uint64, reason string) (accepted.Accepted, bool, error) {
 	var v uint64
 	if p := n.plans.Plan(); p != nil {
 		v = p.Version
@@ -302,7 +308,7 @@
 	if err != nil {
 		return accepted.Accepted{}, false, err
 	}
-	p := &publish.Publish{Clock: instant{n.world.clock}, Platform: n.world.platform(n.self.Name), Key: accepted.PlanKey, Fence: n.lease.Fence}
+	p := &publish.Publish{Clock: instantClock{n.cluster.clock}, Platform: n.cluster.platform(n.self.Name), Key: accepted.PlanKey, Fence: n.lease.Fence}
 	a, ok, err := p.Commit(context.Background(), v, b)
 	if ok {
 		err = n.plans.Replica().Offer(a.Version, a.Hash, b)
@@ -310,24 +316,24 @@
 	return a, ok, err
 }
 
-// once is a clock whose first wait ends a loop.
-type once struct {
+// singleWaitClock is a clock that ends the host's lease loop at its first wait.
+type singleWaitClock struct {
 	*clockwork.FakeClock
 
-	node *node
+	host *testHost
 }
 
-// After ends the loop that waits.
-func (o once) After(time.Duration) <-chan time.Time {
-	o.node.ended()
+// After cancels the waiting loop.
+func (o singleWaitClock) After(time.Duration) <-chan time.Time {
+	o.host.cancelLease()
 	return nil
 }
 
-// instant is a clock whose waits are over at once.
-type instant struct{ *clockwork.FakeClock }
+// instantClock is a clock whose waits end immediately.
+type instantClock struct{ *clockwork.FakeClock }
 
-// After returns a channel that has already fired.
-func (i instant) After(time.Duration) <-chan time.Time {
+// After returns a channel that already holds a value.
+func (i instantClock) After(time.Duration) <-chan time.Time {
 	c := make(chan time.Time, 1)
 	c <- i.Now()
 	return c
