--- a/layers_test.go
+++ b/layers_test.go
@@ -15,28 +15,30 @@
 )
 
 const (
-	module = "celeryreach.example/celeryreach/"
-	page   = "docs/layers.md"
-	begin  = "<!-- layers -->\n"
+	module      = "celeryreach.example/celeryreach/"
+	layersPage  = "docs/layers.md"
+	tableMarker = "<!-- layers -->\n"
 )
 
-// The page of layers is made from the imports: a package's row is one above the
-// highest row that it imports, so that a page that agrees proves that imports
-// only lead downward. UPDATE=1 go test -run TestLayers . writes it anew.
+// The table of layers in docs/layers.md must match the imports. A package's layer is
+// one above the highest layer among the packages that it imports, so every import
+// leads to a lower layer. Run UPDATE=1 go test -run TestLayers . to regenerate the
+// table.
 func TestLayers(t *testing.T) {
-	b, err := os.ReadFile(page)
+	b, err := os.ReadFile(layersPage)
 	must.NoError(t, err)
-	head, _, ok := strings.Cut(string(b), begin)
+	head, _, ok := strings.Cut(string(b), tableMarker)
 	must.True(t, ok)
-	w := head + begin + rows(imports(t))
+	w := head + tableMarker + layerTable(imports(t))
 	if os.Getenv("UPDATE") != "" {
-		must.NoError(t, os.WriteFile(page, []byte(w), 0o600))
+		must.NoError(t, os.WriteFile(layersPage, []byte(w), 0o600))
 		return
 	}
 	must.EqOp(t, w, string(b))
 }
 
-// imports returns the packages of the module that each package imports.
+// imports returns, for each package, the packages of this module that its non-test
+// files import.
 func imports(t *testing.T) map[string]map[string]bool {
 	f, err := filepath.Glob("*/*.go")
 	must.NoError(t, err)
@@ -62,11 +64,12 @@
 	return r
 }
 
-func rows(m map[string]map[string]bool) string {
+// layerTable returns the Markdown table of layers, highest first.
+func layerTable(m map[string]map[string]bool) string {
 	l := make(map[int][]string)
 	h := 0
 	for p := range m {
-		n := row(m, p)
+		n := layerOf(m, p)
 		l[n] = append(l[n], p)
 		h = max(h, n)
 	}
@@ -79,10 +82,11 @@
 	return b.String()
 }
 
-func row(m map[string]map[string]bool, p string) int {
+// layerOf returns the layer of package p, zero if it imports no package of this module.
+func layerOf(m map[string]map[string]bool, p string) int {
 	n := 0
 	for i := range m[p] {
-		n = max(n, 1+row(m, i))
+		n = max(n, 1+layerOf(m, i))
 	}
 	return n
 }
