--- a/accepted/accepted.go
+++ b/accepted/accepted.go
@@ -10,7 +10,7 @@
 // Keys of the rows.
 const (
 	// RowKey is the key of the configuration's row.
-	RowKey = "config"
+	ConfigKey = "config"
 	// PlanKey is the key of the plan's row.
 	PlanKey = "plan"
 	// BlocksKey is the key of the client block table's row.
--- a/accepted/written_test.go
+++ b/accepted/written_test.go
@@ -16,6 +16,6 @@
 	must.Eq(t, []string{
 		"config", "plan", "blocks", "config/hash",
 	}, []string{
-		RowKey, PlanKey, BlocksKey, ObjectName(RowKey, "hash"),
+		ConfigKey, PlanKey, BlocksKey, ObjectName(ConfigKey, "hash"),
 	})
 }
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -49,7 +49,7 @@
 
 // Trusts reports whether this host may rely on its keys for a request. A partitioned
 // host does not receive key withdrawals.
-func (a *Admission) Trusts(nonIdempotent bool) bool {
+func (a *Admission) MayUseKeys(nonIdempotent bool) bool {
 	return a.Stale == nil || !a.Stale(nonIdempotent)
 }
 
--- a/author/author.go
+++ b/author/author.go
@@ -74,7 +74,7 @@
 	Every time.Duration
 	// Least is the minimum time between two epochs that only adjust parts to
 	// demand.
-	Least time.Duration
+	MinEpochInterval time.Duration
 
 	firstStepAt    time.Time
 	lastReadAt     time.Time
@@ -134,7 +134,7 @@
 	}
 	d := a.division
 	if r.Version != 0 {
-		a.Holding.Learn(d, t)
+		a.Holding.ApplyDivision(d, t)
 	}
 	n, ok := a.nextDue(d)
 	if !ok {
@@ -165,7 +165,7 @@
 		return d, false
 	}
 	l := a.Alive()
-	if !a.Holding.Steady() {
+	if !a.Holding.RanWithoutGap() {
 		// A process that has just started or was paused has not received the
 		// heartbeats of the others yet. Without this it would drop all of
 		// them.
@@ -177,7 +177,7 @@
 	}
 	p := &epochBuilder{
 		old: o, config: c, alive: l, floorsReleased: a.floorsReleased,
-		demand: a.Demand(), followDemand: n.Sub(a.epochChangedAt) >= a.Least,
+		demand: a.Demand(), followDemand: n.Sub(a.epochChangedAt) >= a.MinEpochInterval,
 	}
 	if a.inMinority(d, p.alive, n) {
 		return d, false
@@ -246,7 +246,7 @@
 		}
 	}
 	// A failure domain without a process never used its floor.
-	return len(m) == 0 || a.Holding.Moved(e, func(n string) bool { return m[n] })
+	return len(m) == 0 || a.Holding.DomainReachedEpoch(e, func(n string) bool { return m[n] })
 }
 
 // writeEpoch commits d as the successor of row r.
@@ -267,5 +267,5 @@
 		return
 	}
 	a.Log.Info("division written", "Epoch", d.Epoch, "Holders", len(d.Holders), "Silent", len(d.Silent))
-	a.Holding.Learn(d, t)
+	a.Holding.ApplyDivision(d, t)
 }
--- a/author/cut.go
+++ b/author/cut.go
@@ -64,7 +64,7 @@
 		m += math.Abs(float64(span.Length(w)) - float64(span.Length(o[n].Leased)))
 		r[n] = part.Part{Leased: w}
 	}
-	m /= 2 * span.Whole
+	m /= 2 * span.FullLength
 	if !force && m < minMovedFraction {
 		return o, false
 	}
@@ -104,9 +104,9 @@
 		f := c.domainFloor(d)
 		l := make(map[string]uint32, len(m))
 		if span.Length(f)/uint32(len(m)) < c.minPartLength() {
-			l[c.next.Chief(c.limit, d)] = span.Length(f)
+			l[c.next.DefaultHolder(c.limit, d)] = span.Length(f)
 		} else {
-			for i, v := range span.Equal(f, len(m)) {
+			for i, v := range span.SplitEqually(f, len(m)) {
 				l[m[i].Name] = span.Length(v)
 			}
 		}
@@ -132,7 +132,7 @@
 
 // leasableSpans returns the spans outside of all new and prior floors.
 func (c *limitDivider) leasableSpans() []span.Span {
-	r := []span.Span{{To: span.Whole}}
+	r := []span.Span{{To: span.FullLength}}
 	for _, d := range c.next.Floors {
 		r = span.Subtract(r, c.floorSpans(c.next.Floors, c.next.FloorFraction, d))
 	}
@@ -148,8 +148,8 @@
 func (c *limitDivider) floorSpans(floors []string, fraction float64, domain string) []span.Span {
 	l := c.domainsWithFloor(floors)
 	for i, d := range l {
-		if f := uint32(i * span.Whole / len(l)); d == domain && fraction > 0 {
-			return []span.Span{{From: f, To: f + uint32(fraction*span.Whole/float64(len(l)))}}
+		if f := uint32(i * span.FullLength / len(l)); d == domain && fraction > 0 {
+			return []span.Span{{From: f, To: f + uint32(fraction*span.FullLength/float64(len(l)))}}
 		}
 	}
 	return nil
@@ -232,7 +232,7 @@
 		s += d[h.Name]
 	}
 	if s == 0 && c.minPartLength() > 0 {
-		r[c.next.Chief(c.limit, "")] = total
+		r[c.next.DefaultHolder(c.limit, "")] = total
 		return r
 	}
 	for {
@@ -263,7 +263,7 @@
 	s := 0.0
 	for i, h := range u {
 		f := float64(span.Length(c.domainFloor(h.Domain))) / float64(c.countHolders(h.Domain))
-		n[i] = max(d[h.Name]*demandHeadroom*span.Whole-f-e, 0)
+		n[i] = max(d[h.Name]*demandHeadroom*span.FullLength-f-e, 0)
 		s += d[h.Name]
 	}
 	t := (1 - equalShareFraction) * total
@@ -290,7 +290,7 @@
 	}
 	for _, a := range c.builder.config.Accounts {
 		if a.Name == n {
-			return uint32(min(minTokens/max(a.Burst, 1), 1) * span.Whole)
+			return uint32(min(minTokens/max(a.Burst, 1), 1) * span.FullLength)
 		}
 	}
 	return 0
--- a/author/plan.go
+++ b/author/plan.go
@@ -114,7 +114,7 @@
 		f = append(f, d.Name)
 	}
 	sort.Strings(f)
-	return f, p.config.InForce().FloorFraction
+	return f, p.config.ActivePreset().FloorFraction
 }
 
 // listedLimits returns the limits to list in the row: accounts with demand,
--- a/backendlimit/backendlimit.go
+++ b/backendlimit/backendlimit.go
@@ -43,13 +43,13 @@
 	Hosts func() []member.Member
 	// Far is the weight of a host outside the backend server's region in the division
 	// of a limit, relative to a host in that region.
-	Far float64
+	RemoteWeight float64
 	// Overage, Slack and Window define the bound of a limit: all hosts together send at
 	// most limit x Window x Overage + Slack requests in any Window.
 	Overage, Slack float64
 	Window         time.Duration
 	// News is called when other hosts should be notified of a limit immediately.
-	News func()
+	Notify func()
 
 	limited atomic.Int64 // number of backend servers with a limit
 
@@ -75,12 +75,12 @@
 // sent at the given time. A response without a value withdraws the limit only if the
 // request was served: a failure may come from a component that does not implement
 // limits.
-func (l *Backendlimit) Answered(b backend.Backend, sent time.Time, values []string, served bool) {
+func (l *Backendlimit) Observe(b backend.Backend, sent time.Time, values []string, served bool) {
 	if len(values) == 0 && !served {
 		return
 	}
 	if l.update(b, sent, values) {
-		l.News()
+		l.Notify()
 	}
 }
 
@@ -131,7 +131,7 @@
 }
 
 // Spend counts a request sent to a backend server.
-func (l *Backendlimit) Spend(b backend.Backend) {
+func (l *Backendlimit) RecordSent(b backend.Backend) {
 	if l.limited.Load() == 0 {
 		return
 	}
@@ -144,7 +144,7 @@
 
 // Until returns the time until this host may send a request to a backend server, as of
 // the last call of Allow.
-func (l *Backendlimit) Until(b backend.Backend) time.Duration {
+func (l *Backendlimit) RetryAfter(b backend.Backend) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if m := l.limits[keyOf(b)]; m != nil && m.current.perSecond < unlimited {
--- a/backendlimit/observation_test.go
+++ b/backendlimit/observation_test.go
@@ -49,23 +49,23 @@
 	b := backend.Backend{Name: "c1", Started: 3}
 	host := func(name string) *Backendlimit {
 		return &Backendlimit{
-			Clock: c, Log: log.New(io.Discard), Self: name, News: func() {}, Window: window, Overage: overage, Slack: slack,
+			Clock: c, Log: log.New(io.Discard), Self: name, Notify: func() {}, Window: window, Overage: overage, Slack: slack,
 			Hosts: func() []member.Member { return []member.Member{{Name: "a"}, {Name: "b"}} },
 		}
 	}
 	x, y := host("a"), host("b")
-	x.Answered(b, c.Now(), []string{"0.5"}, true)
+	x.Observe(b, c.Now(), []string{"0.5"}, true)
 	c.Advance(time.Second)
-	y.Hear("a", x.Tell())
+	y.Merge("a", x.Observations())
 	must.EqOp(t, 1, y.Limited())
-	must.Len(t, 0, y.Tell())
-	x.Answered(b, c.Now(), nil, true)
+	must.Len(t, 0, y.Observations())
+	x.Observe(b, c.Now(), nil, true)
 	c.Advance(time.Second)
 	must.EqOp(t, 0, x.Limited())
-	y.Hear("a", x.Tell())
+	y.Merge("a", x.Observations())
 	must.EqOp(t, 0, y.Limited())
 	c.Advance(2 * reportFor)
-	must.Len(t, 0, x.Tell())
+	must.Len(t, 0, x.Observations())
 }
 
 // A backend server that is gone must not count as limited forever, and an invalid limit
@@ -74,10 +74,10 @@
 	f := newFleet(1, 1)
 	f.announce("0.5")
 	f.clock.Advance(retention + time.Second)
-	f.hosts[0].Tell()
+	f.hosts[0].Observations()
 	must.EqOp(t, 0, f.hosts[0].Limited())
 	must.MapEmpty(t, f.hosts[0].limits)
-	f.hosts[0].Hear("b", []*wire.BackendLimit{{Backend: "c1", PerSecond: proto.Float64(math.NaN())}})
+	f.hosts[0].Merge("b", []*wire.BackendLimit{{Backend: "c1", PerSecond: proto.Float64(math.NaN())}})
 	must.EqOp(t, 0, f.hosts[0].Limited())
 }
 
@@ -86,7 +86,7 @@
 func TestFailureDoesNotWithdrawLimit(t *testing.T) {
 	f := newFleet(1, 1)
 	f.announce("0.5")
-	f.hosts[0].Answered(f.backend, f.clock.Now(), nil, false)
+	f.hosts[0].Observe(f.backend, f.clock.Now(), nil, false)
 	must.EqOp(t, 1, f.hosts[0].Limited())
 	must.False(t, f.hosts[0].Allow(f.backend))
 	b := f.backend
--- a/backendlimit/part.go
+++ b/backendlimit/part.go
@@ -108,7 +108,7 @@
 	if h.Region == b.Region {
 		return 1
 	}
-	return l.Far
+	return l.RemoteWeight
 }
 
 // allows reports whether this host may send one more request now.
--- a/backendlimit/part_test.go
+++ b/backendlimit/part_test.go
@@ -42,7 +42,7 @@
 	for _, m := range l {
 		f.hosts = append(f.hosts, &Backendlimit{
 			Clock: f.clock, Log: log.New(io.Discard), Self: m.Name, Hosts: func() []member.Member { return l },
-			Far: 0.15, Overage: overage, Slack: slack, Window: window, News: func() {},
+			RemoteWeight: 0.15, Overage: overage, Slack: slack, Window: window, Notify: func() {},
 		})
 	}
 	return f
@@ -51,7 +51,7 @@
 // announce makes all hosts observe a limit.
 func (f *fleet) announce(value string) {
 	for _, h := range f.hosts {
-		h.Answered(f.backend, f.clock.Now(), []string{value}, true)
+		h.Observe(f.backend, f.clock.Now(), []string{value}, true)
 	}
 	f.clock.Advance(tick)
 }
@@ -59,7 +59,7 @@
 // sendAll lets a host send as many requests as it may.
 func (f *fleet) sendAll(h *Backendlimit) {
 	for h.Allow(f.backend) {
-		h.Spend(f.backend)
+		h.RecordSent(f.backend)
 		f.sent = append(f.sent, f.clock.Now())
 	}
 }
--- a/backendlimit/report.go
+++ b/backendlimit/report.go
@@ -14,7 +14,7 @@
 // Tell returns the limits that this host itself recently observed, for heartbeats.
 // Limits received from other hosts are left out: if passed on, an old observation would
 // always seem recent.
-func (l *Backendlimit) Tell() []*wire.BackendLimit {
+func (l *Backendlimit) Observations() []*wire.BackendLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var r []*wire.BackendLimit
@@ -37,7 +37,7 @@
 }
 
 // Hear applies the limits that another host observed.
-func (l *Backendlimit) Hear(from string, v []*wire.BackendLimit) {
+func (l *Backendlimit) Merge(from string, v []*wire.BackendLimit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := l.Clock.Now()
--- a/backendstandin/backendstandin.go
+++ b/backendstandin/backendstandin.go
@@ -26,7 +26,7 @@
 
 // JudgeHeader identifies one attempt of a caller, so that the runs of repeated
 // attempts can be counted separately.
-const JudgeHeader = "X-Judge-Id"
+const AttemptHeader = "X-Judge-Id"
 
 const (
 	coldFactor    = 10
@@ -44,7 +44,7 @@
 	// Slots is how many requests run concurrently.
 	Slots int
 	// Work is how long a request runs on a warm backend server.
-	Work time.Duration
+	RequestDuration time.Duration
 	// ColdFor is how long the backend server stays cold after its first
 	// request. While it is cold, a request takes twice as long.
 	ColdFor time.Duration
@@ -58,7 +58,7 @@
 }
 
 // Set changes the injected faults.
-func (b *Backendstandin) Set(k backendknobs.Backendknobs) {
+func (b *Backendstandin) SetFaults(k backendknobs.Backendknobs) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.knobs = k
@@ -114,7 +114,7 @@
 // writeRuns writes the number of runs by id, for tests that run the backend
 // stand-in as a separate process.
 func (b *Backendstandin) writeRuns(w http.ResponseWriter) {
-	v, err := codec.Marshal(b.Runs())
+	v, err := codec.Marshal(b.RunCounts())
 	if err != nil {
 		panic(err) // a map of counts can always be marshaled
 	}
@@ -127,7 +127,7 @@
 }
 
 // Runs returns how often each id was run.
-func (b *Backendstandin) Runs() map[string]int {
+func (b *Backendstandin) RunCounts() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return maps.Clone(b.runs)
@@ -135,7 +135,7 @@
 
 // Seen returns the method, target and header values of the first 1000 recorded
 // requests, so that a test can check that no key was forwarded.
-func (b *Backendstandin) Seen() []string {
+func (b *Backendstandin) ReceivedValues() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]string(nil), b.received...)
@@ -143,13 +143,13 @@
 
 // Body returns the response body for a request. It names the request, so that a
 // caller can check that the response belongs to the request and is complete.
-func Body(name, method, target, digest string, n int) string {
+func ResponseBody(name, method, target, digest string, n int) string {
 	s := fmt.Sprintf("%s %s %s %s\n", name, method, target, digest)
 	return s + strings.Repeat("-", max(0, n-len(s)-1)) + "."
 }
 
 func (b *Backendstandin) writeResponse(w http.ResponseWriter, r *http.Request, k backendknobs.Backendknobs, digest string) {
-	a := Body(b.Name, r.Method, r.URL.RequestURI(), digest, k.Bytes)
+	a := ResponseBody(b.Name, r.Method, r.URL.RequestURI(), digest, k.Bytes)
 	switch {
 	case k.Mute:
 		<-r.Context().Done()
@@ -195,7 +195,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	b.Set(k)
+	b.SetFaults(k)
 }
 
 func (b *Backendstandin) writeHealth(w http.ResponseWriter) {
@@ -228,7 +228,7 @@
 }
 
 func (b *Backendstandin) recordRun(r *http.Request) {
-	k := r.Header.Get(JudgeHeader)
+	k := r.Header.Get(AttemptHeader)
 	if k == "" {
 		k = r.Header.Get("Idempotency-Key")
 	}
@@ -254,10 +254,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if k.Cold {
-		return coldFactor * b.Work
+		return coldFactor * b.RequestDuration
 	}
 	if b.Clock.Since(b.firstRunAt) < b.ColdFor {
-		return 2 * b.Work
+		return 2 * b.RequestDuration
 	}
-	return b.Work
+	return b.RequestDuration
 }
--- a/backendtrial/backendtrial.go
+++ b/backendtrial/backendtrial.go
@@ -43,9 +43,9 @@
 	// For is the simulated time; the fault begins at 5 s.
 	For time.Duration
 	// Trouble is the kind of fault, one of Troubles.
-	Trouble string
+	Fault string
 	// First selects the balancer of the first version, the baseline.
-	First bool
+	Baseline bool
 
 	timeline *timeline.Timeline
 	random   *rand.Rand
@@ -69,7 +69,7 @@
 }
 
 // Troubles returns the kinds of faults.
-func Troubles() []string {
+func Faults() []string {
 	return []string{"none", "fails fast", "slow", "refuses", "leaves", "cold", "callers cancel", "health lies"}
 }
 
@@ -100,22 +100,22 @@
 	for i := range backendCount {
 		b.backends = append(b.backends, backend.Backend{Name: fmt.Sprint(i), Slots: slotsPerBackend, WarmUp: 8 * time.Second, Health: "/health"})
 	}
-	if b.Trouble == "cold" {
+	if b.Fault == "cold" {
 		b.backends = b.backends[1:] // the first one is added when the fault begins
 	}
 	b.balancer = &balancer.Balancer{
-		Clock: b.timeline.Clock, Backends: func() []backend.Backend { return b.backends }, Released: func() {},
+		Clock: b.timeline.Clock, Backends: func() []backend.Backend { return b.backends }, OnReleased: func() {},
 		Slots: func(v backend.Backend) int { return v.Slots }, Random: b.random.IntN,
 	}
 	b.acquire = b.balancer.Acquire
-	if b.First {
+	if b.Baseline {
 		b.acquire = b.baseline()
 	}
-	b.queue = &queue.Queue{Clock: b.timeline.Clock, Acquire: b.acquire, Limit: 10_000, Patience: 100 * time.Millisecond}
+	b.queue = &queue.Queue{Clock: b.timeline.Clock, Acquire: b.acquire, Limit: 10_000, NewestFirstAfter: 100 * time.Millisecond}
 }
 
 func (b *Backendtrial) injectFault() {
-	if b.Trouble == "cold" {
+	if b.Fault == "cold" {
 		b.backends = append([]backend.Backend{{Name: "0", Slots: slotsPerBackend, WarmUp: 8 * time.Second, Health: "/health"}}, b.backends...)
 	}
 }
@@ -123,13 +123,13 @@
 // probe simulates the health endpoints, which report the real state except for
 // the fault "health lies".
 func (b *Backendtrial) probe() {
-	for _, v := range b.balancer.Suspects() {
-		a := v.Name == "0" && b.faulty() && (b.Trouble == "refuses" || b.Trouble == "fails fast")
-		h := health.Health{Reached: !a || b.Trouble != "refuses", Healthy: !a}
-		if b.Trouble == "health lies" {
+	for _, v := range b.balancer.ProbeTargets() {
+		a := v.Name == "0" && b.faulty() && (b.Fault == "refuses" || b.Fault == "fails fast")
+		h := health.Health{Reached: !a || b.Fault != "refuses", Healthy: !a}
+		if b.Fault == "health lies" {
 			h = health.Health{Reached: true, Report: loadreport.Loadreport{Draining: true}}
 		}
-		b.balancer.Probed(v.Name, h)
+		b.balancer.HandleProbe(v.Name, h)
 	}
 }
 
@@ -140,7 +140,7 @@
 // arrive adds a request to the queue and polls for its decision.
 func (b *Backendtrial) arrive(at, w time.Duration, cancels bool) {
 	b.counts.sent++
-	d, _ := b.queue.Enter(context.Background(), "a", maxWait)
+	d, _ := b.queue.Enqueue(context.Background(), "a", maxWait)
 	var look func()
 	look = func() {
 		s, o, ok := d()
@@ -165,7 +165,7 @@
 	if a && b.timeline.Now() >= faultBegins+recoveryTime {
 		b.counts.afterRecovery++
 	}
-	if a && b.Trouble == "refuses" {
+	if a && b.Fault == "refuses" {
 		b.end(at, time.Millisecond, s, result.Refused, http.StatusOK)
 		return
 	}
@@ -188,14 +188,14 @@
 // take w without a fault.
 func (b *Backendtrial) serve(bad bool, w time.Duration, cancels bool) (time.Duration, result.Result, int) {
 	switch {
-	case bad && b.Trouble == "fails fast":
+	case bad && b.Fault == "fails fast":
 		return time.Millisecond, result.Succeeded, http.StatusInternalServerError
-	case bad && b.Trouble == "slow":
+	case bad && b.Fault == "slow":
 		return 10 * w, result.Succeeded, http.StatusOK
-	case bad && b.Trouble == "cold":
+	case bad && b.Fault == "cold":
 		t := (b.timeline.Now() - faultBegins).Seconds()
 		return time.Duration(float64(w) * (1 + 9*max(0, 1-t/8))), result.Succeeded, http.StatusOK
-	case cancels && b.Trouble == "callers cancel":
+	case cancels && b.Fault == "callers cancel":
 		return w / 2, result.Canceled, http.StatusOK
 	default:
 		return w, result.Succeeded, http.StatusOK
@@ -207,7 +207,7 @@
 	b.timeline.At(b.timeline.Now()+w, func() {
 		if r == result.Succeeded {
 			h := http.Header{}
-			if b.Trouble == "leaves" && s.Backend.Name == "0" && b.faulty() {
+			if b.Fault == "leaves" && s.Backend.Name == "0" && b.faulty() {
 				h.Set(loadreport.DrainingHeader, "yes")
 			}
 			s.Answered(status, h)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -28,10 +28,10 @@
 	// Slots returns how many slots of a backend server this host owns now.
 	Slots func(b backend.Backend) int
 	// Released is called after a slot was freed.
-	Released func()
+	OnReleased func()
 	// Drained is called with the time from the first sign of a drain until the
 	// requests in flight ended; nil disables the call.
-	Drained func(name, sign string, d time.Duration)
+	OnDrained func(name, sign string, d time.Duration)
 	// Random returns a random number in [0, n); nil means math/rand/v2.
 	Random func(n int) int
 
@@ -129,7 +129,7 @@
 		f := s.completeDrain(n)
 		b.mu.Unlock()
 		b.reportDrain(f)
-		b.Released()
+		b.OnReleased()
 		return
 	}
 	b.held = append(b.held, heldSlot{server: s, until: n.Add(d), free: free})
@@ -149,7 +149,7 @@
 	for _, d := range f {
 		b.reportDrain(&d)
 	}
-	b.Released()
+	b.OnReleased()
 }
 
 // beginDrain records the first sign of a drain. Operators wait for the report
@@ -182,8 +182,8 @@
 }
 
 func (b *Balancer) reportDrain(d *drain) {
-	if d != nil && b.Drained != nil {
-		b.Drained(d.name, d.sign, d.took)
+	if d != nil && b.OnDrained != nil {
+		b.OnDrained(d.name, d.sign, d.took)
 	}
 }
 
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -44,8 +44,8 @@
 			}
 			return b.Slots
 		},
-		Released: func() {},
-		Drained:  func(n, s string, d time.Duration) { r.drained = fmt.Sprint(n, " ", s, " ", d) },
+		OnReleased: func() {},
+		OnDrained:  func(n, s string, d time.Duration) { r.drained = fmt.Sprint(n, " ", s, " ", d) },
 		Random: func(n int) int {
 			r.draw += 7
 			return r.draw % n
@@ -159,7 +159,7 @@
 			},
 			"suspects": func(s *testscript.TestScript, _ bool, a []string) {
 				var v []string
-				for _, b := range get(s).balancer.Suspects() {
+				for _, b := range get(s).balancer.ProbeTargets() {
 					v = append(v, b.Name)
 				}
 				must.EqOp(check(s), strings.Join(a, " "), strings.Join(v, " "))
@@ -188,7 +188,7 @@
 		h.Healthy = h.Healthy || v == "well"
 		h.Report.Draining = h.Report.Draining || v == "draining"
 	}
-	get(s).balancer.Probed(a[0], h)
+	get(s).balancer.HandleProbe(a[0], h)
 }
 
 func get(s *testscript.TestScript) *testBalancer { return s.Value("balancer").(*testBalancer) }
--- a/balancer/lend.go
+++ b/balancer/lend.go
@@ -45,14 +45,14 @@
 		b.mu.Lock()
 		e()
 		b.mu.Unlock()
-		b.Released()
+		b.OnReleased()
 	}, true
 }
 
 // Adopt returns a slot on a backend server that another host lent. The function
 // free is called, under the balancer's lock, when the backend server can be
 // assumed to have stopped working on the request.
-func (b *Balancer) Adopt(name string, free func()) (slot.Slot, bool) {
+func (b *Balancer) BorrowedSlot(name string, free func()) (slot.Slot, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := b.Clock.Now()
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -115,9 +115,9 @@
 	f := b.byName == nil
 	if f {
 		b.byName = make(map[string]*server)
-		b.outliers.Consecutive = ejectAfterFailures
-		b.outliers.For = ejectTime
-		b.outliers.Fraction = maxEjectedFraction
+		b.outliers.MaxConsecutive = ejectAfterFailures
+		b.outliers.Ejection = ejectTime
+		b.outliers.MaxFraction = maxEjectedFraction
 	}
 	for _, s := range b.servers {
 		s.index = -1
@@ -159,7 +159,7 @@
 	}
 	s.removed = false
 	s.backend = v
-	s.warmup.For = v.WarmUp
+	s.warmup.Duration = v.WarmUp
 	return s
 }
 
--- a/balancer/probed.go
+++ b/balancer/probed.go
@@ -10,7 +10,7 @@
 // Suspects returns the backend servers to probe: those that are excluded or
 // draining, those without a recent successful request, and those with a health
 // endpoint, which may announce a drain before answers do.
-func (b *Balancer) Suspects() []backend.Backend {
+func (b *Balancer) ProbeTargets() []backend.Backend {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := b.Clock.Now()
@@ -29,7 +29,7 @@
 // domain. A response only ends the exclusion after refusals, so that real
 // requests decide, on one slot at first. It does not end a drain that answers
 // announce.
-func (b *Balancer) Probed(name string, h health.Health) {
+func (b *Balancer) HandleProbe(name string, h health.Health) {
 	b.mu.Lock()
 	n := b.Clock.Now()
 	s := b.byName[name]
@@ -58,7 +58,7 @@
 		s.warmup.Began = n
 	}
 	b.mu.Unlock()
-	b.Released()
+	b.OnReleased()
 }
 
 // mayDrainOnProbe limits the drains that rest on health endpoints alone to an
--- a/binding/binding.go
+++ b/binding/binding.go
@@ -46,7 +46,7 @@
 }
 
 // Fit sets the number of slots of each region. Counted requests are kept.
-func (b *Binding) Fit(slots map[string]int) {
+func (b *Binding) SetSlots(slots map[string]int) {
 	o := b.regions
 	b.regions, b.slots = make(map[string]*region), 0
 	for n, s := range slots {
@@ -94,7 +94,7 @@
 
 // Left returns the fraction of a region, in 0..1, that is available to requests which
 // may be served anywhere.
-func (b *Binding) Left(name string) float64 {
+func (b *Binding) Available(name string) float64 {
 	if r := b.regions[name]; r != nil {
 		return r.left
 	}
--- a/binding/binding_test.go
+++ b/binding/binding_test.go
@@ -37,7 +37,7 @@
 		t.Run(m.name, func(t *testing.T) {
 			b := newBinding()
 			countEvenly(b, time.Unix(0, 0), 3*time.Minute, m.homes)
-			must.InDelta(t, m.left, b.Left("lagos"), tolerance)
+			must.InDelta(t, m.left, b.Available("lagos"), tolerance)
 		})
 	}
 }
@@ -48,9 +48,9 @@
 func TestUnneededRegionIsReleased(t *testing.T) {
 	b := newBinding()
 	countEvenly(b, time.Unix(0, 0), time.Minute, []string{"lagos"})
-	must.Less(t, 0.05+tolerance, b.Left("lagos"))
+	must.Less(t, 0.05+tolerance, b.Available("lagos"))
 	countEvenly(b, time.Unix(60, 0), 3*time.Minute, nil)
-	must.GreaterEq(t, 1-tolerance, b.Left("lagos"))
+	must.GreaterEq(t, 1-tolerance, b.Available("lagos"))
 }
 
 // The list of backend servers changes every few seconds. An update must keep the
@@ -58,11 +58,11 @@
 func TestFitKeepsCounts(t *testing.T) {
 	b := newBinding()
 	countEvenly(b, time.Unix(0, 0), time.Minute, []string{"lagos"})
-	l := b.Left("lagos")
-	b.Fit(map[string]int{"lagos": 20, "abuja": 20, "kano": 19})
-	must.EqOp(t, l, b.Left("lagos"))
-	b.Fit(map[string]int{"abuja": 20, "kano": 20})
-	must.EqOp(t, 1, b.Left("lagos"))
+	l := b.Available("lagos")
+	b.SetSlots(map[string]int{"lagos": 20, "abuja": 20, "kano": 19})
+	must.EqOp(t, l, b.Available("lagos"))
+	b.SetSlots(map[string]int{"abuja": 20, "kano": 20})
+	must.EqOp(t, 1, b.Available("lagos"))
 }
 
 // A single request more or less must not move an object, so the fraction changes only
@@ -76,7 +76,7 @@
 			h = []string{"lagos"}
 		}
 		countEvenly(b, time.Unix(int64(i), 0), time.Second/20, h)
-		if l := b.Left("lagos"); l != last {
+		if l := b.Available("lagos"); l != last {
 			changes, last = changes+1, l
 		}
 	}
@@ -85,7 +85,7 @@
 
 func newBinding() *binding.Binding {
 	b := new(binding.Binding)
-	b.Fit(map[string]int{"lagos": 20, "abuja": 20, "kano": 20})
+	b.SetSlots(map[string]int{"lagos": 20, "abuja": 20, "kano": 20})
 	return b
 }
 
--- a/blockchunk/blockchunk.go
+++ b/blockchunk/blockchunk.go
@@ -59,7 +59,7 @@
 }
 
 // Hashes decodes the list of the chunks' hashes.
-func Hashes(b []byte) ([]string, error) {
+func ParseHashes(b []byte) ([]string, error) {
 	h := strings.Split(strings.TrimSuffix(string(b), "\n"), "\n")
 	if len(h) != Count {
 		return nil, errors.Errorf("list of hashes has %d chunks, want %d", len(h), Count)
@@ -68,6 +68,6 @@
 }
 
 // Manifest encodes the list of the chunks' hashes.
-func Manifest(h []string) []byte {
+func FormatHashes(h []string) []byte {
 	return []byte(strings.Join(h, "\n") + "\n")
 }
--- a/blockfollower/blockfollower.go
+++ b/blockfollower/blockfollower.go
@@ -80,7 +80,7 @@
 	f.once.Do(func() {
 		f.replica = &replica.Replica{
 			Kind: Kind, Key: accepted.BlocksKey, Log: f.Log, Platform: f.Platform, Apply: f.apply, Changed: f.Changed,
-			Clock: f.Clock, Every: f.Poll,
+			Clock: f.Clock, PollInterval: f.Poll,
 		}
 	})
 	return f.replica
@@ -91,7 +91,7 @@
 // and retried after the next read or digest; look-ups continue with the
 // previous version.
 func (f *Blockfollower) apply(_ uint64, _ string, content []byte) error {
-	h, err := blockchunk.Hashes(content)
+	h, err := blockchunk.ParseHashes(content)
 	if err != nil {
 		return err
 	}
--- a/blockpublish/blockpublish.go
+++ b/blockpublish/blockpublish.go
@@ -43,7 +43,7 @@
 		if err := p.storeChanges(ctx, h, put, remove); err != nil {
 			return a, err
 		}
-		n, ok, err := u.Commit(ctx, a.Version, blockchunk.Manifest(h))
+		n, ok, err := u.Commit(ctx, a.Version, blockchunk.FormatHashes(h))
 		if ok || err != nil {
 			return n, err
 		}
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return blockchunk.Hashes(b)
+	return blockchunk.ParseHashes(b)
 }
 
 // storeChanges stores the chunks that change and sets their hashes in h.
--- a/borrower/borrower.go
+++ b/borrower/borrower.go
@@ -45,11 +45,11 @@
 	// Borrow requests tokens from one host.
 	Borrow func(ctx context.Context, address string, b *wire.BorrowRequest) (*wire.BorrowResponse, error)
 	// Bring delivers tokens to one host.
-	Bring func(ctx context.Context, address string, l *wire.Loan) error
+	Deliver func(ctx context.Context, address string, l *wire.Loan) error
 	// Received is called with the tokens that a host lent.
 	Received func(limit string, units int64)
 	// Asked is called when a request has been met as far as possible.
-	Asked func(limit string)
+	RequestDone func(limit string)
 
 	requests chan tokenRequest
 	loans    chan loan
@@ -77,7 +77,7 @@
 // Ask queues a request for tokens of a limit, to be met by hosts among holders. Callers
 // wait for urgent of the units. It never blocks, and returns false if the queue is
 // full.
-func (b *Borrower) Ask(limit string, units, urgent int64, holders []string) bool {
+func (b *Borrower) Request(limit string, units, urgent int64, holders []string) bool {
 	select {
 	case b.requests <- tokenRequest{limit: limit, units: units, urgent: urgent, holders: holders}:
 		return true
@@ -122,7 +122,7 @@
 }
 
 func (b *Borrower) borrow(ctx context.Context, n tokenRequest) {
-	defer b.Asked(n.limit)
+	defer b.RequestDone(n.limit)
 	h := b.selectLenders(n.holders)
 	for i := 0; i < min(len(h), maxLenders) && n.units > 0; i++ {
 		u := b.borrowFrom(ctx, h[i], n)
@@ -159,7 +159,7 @@
 		}
 		x, f := deadline.With(ctx, b.Clock, callTimeout)
 		defer f()
-		err := b.Bring(x, m.PeerAddress, &wire.Loan{Limit: l.limit, Units: uint64(l.units), Lender: b.Self().Name})
+		err := b.Deliver(x, m.PeerAddress, &wire.Loan{Limit: l.limit, Units: uint64(l.units), Lender: b.Self().Name})
 		if err != nil {
 			b.Log.Warn("tokens lost on their way", "To", l.host, "Account", l.limit, "Units", l.units, "Error", err)
 		}
--- a/borrower/borrower_test.go
+++ b/borrower/borrower_test.go
@@ -50,7 +50,7 @@
 		u, err := give(a)
 		return &wire.BorrowResponse{Units: u}, err
 	}
-	b.Bring = func(_ context.Context, _ string, l *wire.Loan) error {
+	b.Deliver = func(_ context.Context, _ string, l *wire.Loan) error {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.delivered = append(w.delivered, l)
@@ -62,7 +62,7 @@
 		defer w.mu.Unlock()
 		w.received += n
 	}
-	b.Asked = func(s string) { w.done <- s }
+	b.RequestDone = func(s string) { w.done <- s }
 	ctx, stop := context.WithCancel(context.Background())
 	end := make(chan error, 1)
 	go func() { end <- b.Run(ctx) }()
@@ -86,7 +86,7 @@
 		i++
 		return answers[i]()
 	})
-	must.True(t, w.borrower.Ask(unity, 2, 2, []string{"a", "b", "c"}))
+	must.True(t, w.borrower.Request(unity, 2, 2, []string{"a", "b", "c"}))
 	must.EqOp(t, unity, <-w.done)
 	must.Len(t, 3, w.asked)
 	must.EqOp(t, "c", w.addresses[2])
@@ -99,7 +99,7 @@
 // cannot have tokens, and their answers would only take time.
 func TestAsksHoldersOnly(t *testing.T) {
 	w := start(t, map[string]string{"a": "lagos", "b": "lagos", "c": "abuja"}, func(string) (uint64, error) { return 0, nil })
-	must.True(t, w.borrower.Ask(unity, 1, 1, []string{"self", "c"}))
+	must.True(t, w.borrower.Request(unity, 1, 1, []string{"self", "c"}))
 	must.EqOp(t, unity, <-w.done)
 	must.Eq(t, []string{"c"}, w.addresses)
 }
@@ -118,7 +118,7 @@
 // If the queue is full, Ask must report it and not block the caller's request.
 func TestAskDoesNotBlock(t *testing.T) {
 	b := borrower.New()
-	for b.Ask(unity, 1, 1, nil) {
+	for b.Request(unity, 1, 1, nil) {
 	}
-	must.False(t, b.Ask(unity, 1, 1, nil))
+	must.False(t, b.Request(unity, 1, 1, nil))
 }
--- a/bucket/bucket.go
+++ b/bucket/bucket.go
@@ -39,14 +39,14 @@
 }
 
 // Limit changes only the burst. Tokens above it are lost.
-func (b *Bucket) Limit(burst float64) {
+func (b *Bucket) SetBurst(burst float64) {
 	b.burst = int64(max(burst, 0) * float64(tokenUnit))
 	b.tokens = min(b.tokens, b.burst)
 }
 
 // Gain adds the tokens that rate makes in d. Owners whose rate changed at times that
 // only they know call it in place of Refill.
-func (b *Bucket) Gain(rate float64, d time.Duration) {
+func (b *Bucket) AddAccrued(rate float64, d time.Duration) {
 	if d <= 0 || rate <= 0 {
 		return
 	}
--- a/budget/budget.go
+++ b/budget/budget.go
@@ -23,7 +23,7 @@
 }
 
 // First counts a first attempt.
-func (b *Budget) First(service string) {
+func (b *Budget) CountRequest(service string) {
 	r := b.Ratio()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -31,7 +31,7 @@
 }
 
 // Second reports whether a second attempt is allowed, and counts it if so.
-func (b *Budget) Second(service string) bool {
+func (b *Budget) TakeRetry(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	v := min(b.balance(service), b.maxRetries())
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -19,9 +19,9 @@
 		f, s := 0, 0
 		for range rapid.IntRange(0, 500).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "first") {
-				b.First("listings")
+				b.CountRequest("listings")
 				f++
-			} else if b.Second("listings") {
+			} else if b.TakeRetry("listings") {
 				s++
 			}
 			must.LessEq(t, 5+q*float64(f)+1e-6, float64(s))
--- a/burn/burn.go
+++ b/burn/burn.go
@@ -41,7 +41,7 @@
 	// Latency returns the latency objective of a service, or zero if it has none.
 	Latency func(service string) time.Duration
 	// Loads returns the current slots of all services.
-	Loads func() []*wire.Load
+	SlotLoads func() []*wire.Load
 
 	mu           sync.Mutex
 	tallies      map[minuteKey]*tally.Tally
@@ -75,7 +75,7 @@
 			return nil
 		case <-b.Clock.After(sampleInterval):
 		}
-		l := b.Loads()
+		l := b.SlotLoads()
 		b.mu.Lock()
 		b.sampleUsage(l)
 		b.expire()
@@ -84,7 +84,7 @@
 }
 
 // Drained records a completed drain.
-func (b *Burn) Drained(backend string, took time.Duration) {
+func (b *Burn) RecordDrain(backend string, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drains = append(b.drains, drained.Drained{At: b.Clock.Now().UTC(), Backend: backend, Took: took})
--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -19,8 +19,8 @@
 func newBurn(c clockwork.Clock) *burn.Burn {
 	return &burn.Burn{
 		Clock: c, Self: member.Member{Name: "h", Region: "north"},
-		Latency: func(string) time.Duration { return 100 * time.Millisecond },
-		Loads:   func() []*wire.Load { return []*wire.Load{{Service: "s", Slots: 4, Busy: 1}} },
+		Latency:   func(string) time.Duration { return 100 * time.Millisecond },
+		SlotLoads: func() []*wire.Load { return []*wire.Load{{Service: "s", Slots: 4, Busy: 1}} },
 	}
 }
 
--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -54,7 +54,7 @@
 func (c *Capacity) printMeasurement(p *measurement.Measurement) {
 	s := c.slopes[p.Name]
 	fmt.Fprintf(c.Out, "| %s | %s %s | %s %s | %.3g %s | %.3g %s/%s | %.3f |\n",
-		p.Name, formatInts(p.Sizes), p.Per, formatFloats(p.Costs()), p.Unit, s.Base, p.Unit, s.Each, p.Unit, p.Per, s.Fit)
+		p.Name, formatInts(p.Sizes), p.Per, formatFloats(p.Costs()), p.Unit, s.Intercept, p.Unit, s.Slope, p.Unit, p.Per, s.RSquared)
 }
 
 func (c *Capacity) printRoles(r []role.Role) {
@@ -63,7 +63,7 @@
 	t := role.Role{Name: "**all**"}
 	for _, v := range r {
 		c.printRole(v)
-		t.State += v.State
+		t.Memory += v.Memory
 		t.Messages += v.Messages
 		t.Traffic += v.Traffic
 		t.Reads += v.Reads
@@ -72,12 +72,12 @@
 	}
 	c.printRole(t)
 	fmt.Fprintf(c.Out, "| budget | %s | | %s | %.0f | %.0f | %.2f%% | | |\n",
-		formatBytes(c.Target.Bytes), formatBytes(c.Target.Traffic), c.Target.StoreReads, c.Target.StoreWrites, 100*c.Target.Core)
+		formatBytes(c.Target.Memory), formatBytes(c.Target.Traffic), c.Target.StoreReads, c.Target.StoreWrites, 100*c.Target.Core)
 }
 
 func (c *Capacity) printRole(r role.Role) {
 	fmt.Fprintf(c.Out, "| %s | %s | %.3g | %s | %.3g | %.3g | %.3f%% | %s | %s |\n",
-		r.Name, formatBytes(r.State), r.Messages, formatBytes(r.Traffic), r.Reads, r.Writes, 100*r.Core, r.Carries, r.Breaks)
+		r.Name, formatBytes(r.Memory), r.Messages, formatBytes(r.Traffic), r.Reads, r.Writes, 100*r.Core, r.Mechanism, r.Bottleneck)
 }
 
 func formatBytes(b float64) string {
--- a/capacity/measurements.go
+++ b/capacity/measurements.go
@@ -131,7 +131,7 @@
 		}
 		e++
 		d.Epoch = e
-		h.Learn(d, c.Clock.Now())
+		h.ApplyDivision(d, c.Clock.Now())
 	})
 }
 
--- a/capacity/placement.go
+++ b/capacity/placement.go
@@ -38,9 +38,9 @@
 func newPlacement(c *Capacity, n int) *placement.Placement {
 	h := []string{"host-0", "host-1"}
 	p := &placement.Placement{
-		Clock: c.Clock, Region: "region-0", Far: 0.15,
-		Pace: &coldpace.Coldpace{Self: h[0], Hosts: func() []string { return h }, Overage: 1.5, Slack: 5},
-		Rate: func(string) (float64, time.Duration) { return 10, time.Second },
+		Clock: c.Clock, Region: "region-0", RemoteWeight: 0.15,
+		ColdRate:     &coldpace.Coldpace{Self: h[0], Hosts: func() []string { return h }, Overage: 1.5, Slack: 5},
+		ColdCapacity: func(string) (float64, time.Duration) { return 10, time.Second },
 	}
 	p.Set(newBackends(n), noColdPeriod)
 	return p
@@ -101,18 +101,18 @@
 func (c *Capacity) placement() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "placement", State: regionBackends * backendEntryBytes * 4, Traffic: regionBackendChanges * backendEntryBytes,
-		Core:    (t.Lookups/t.Nodes*c.costAt(placeTime, domainBackends) + regionBackendChanges*c.costAt(listTime, regionBackends)) / nanosPerSecond,
-		Carries: "rendezvous hashing over a service's backend servers in reach; changes by the store's feed",
-		Breaks:  "every host follows the whole list: 10,200 backend servers, and as many hosts that ask the store; a list for each region, and relays",
+		Name: "placement", Memory: regionBackends * backendEntryBytes * 4, Traffic: regionBackendChanges * backendEntryBytes,
+		Core:       (t.Lookups/t.Hosts*c.costAt(placeTime, domainBackends) + regionBackendChanges*c.costAt(listTime, regionBackends)) / nanosPerSecond,
+		Mechanism:  "rendezvous hashing over a service's backend servers in reach; changes by the store's feed",
+		Bottleneck: "every host follows the whole list: 10,200 backend servers, and as many hosts that ask the store; a list for each region, and relays",
 	}
 }
 
 func (c *Capacity) tokens() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "tokens", State: c.costAt(tokenBytes, siteAccounts), Core: t.Lookups / t.Nodes * c.costAt(tokenTime, siteAccounts) / nanosPerSecond,
-		Carries: "a bucket an account of the site on a few holders, which other hosts ask when a request waits",
-		Breaks:  "holders are drawn from all hosts: most requests would borrow from another region; holders have to follow the sites that an account uses",
+		Name: "tokens", Memory: c.costAt(tokenBytes, siteAccounts), Core: t.Lookups / t.Hosts * c.costAt(tokenTime, siteAccounts) / nanosPerSecond,
+		Mechanism:  "a bucket an account of the site on a few holders, which other hosts ask when a request waits",
+		Bottleneck: "holders are drawn from all hosts: most requests would borrow from another region; holders have to follow the sites that an account uses",
 	}
 }
--- a/capacity/queue.go
+++ b/capacity/queue.go
@@ -23,7 +23,7 @@
 func (c *Capacity) newQueue(n int) *queue.Queue {
 	q := &queue.Queue{Clock: c.Clock, Limit: 2 * n, Acquire: func() (slot.Slot, bool) { return slot.Slot{}, false }}
 	for i := range n {
-		q.Enter(context.Background(), accountName(i%queuedAccounts), time.Hour)
+		q.Enqueue(context.Background(), accountName(i%queuedAccounts), time.Hour)
 	}
 	return q
 }
@@ -37,7 +37,7 @@
 func (c *Capacity) waitTime(n int) float64 {
 	q := c.newQueue(n)
 	return measurement.Time(c.Clock, func() {
-		_, l := q.Enter(context.Background(), accountName(0), time.Hour)
+		_, l := q.Enqueue(context.Background(), accountName(0), time.Hour)
 		l()
 	})
 }
@@ -49,7 +49,7 @@
 	}
 	b := &balancer.Balancer{
 		Clock: c.Clock, Backends: func() []backend.Backend { return l },
-		Slots: func(v backend.Backend) int { return v.Slots }, Released: func() {},
+		Slots: func(v backend.Backend) int { return v.Slots }, OnReleased: func() {},
 		Random: func(k int) int { return k / 2 },
 	}
 	return measurement.Time(c.Clock, func() {
--- a/capacity/requests.go
+++ b/capacity/requests.go
@@ -51,10 +51,10 @@
 	p := new(plan.Plan)
 	l := &lookup.Lookup{
 		Snapshot: func() *snapshot.Snapshot { return s }, Plan: func() *plan.Plan { return p },
-		Hosts: func() *roster.Roster { return r }, Block: t.Find, Home: "region-0",
-		Lost: func(string) bool { return false }, Moved: func(string, string) int { return 0 },
-		Last:  func(string) []member.Member { return nil },
-		Asked: func(string, string) {}, Random: func() float64 { return 0.5 },
+		Hosts: func() *roster.Roster { return r }, Block: t.Find, DefaultRegion: "region-0",
+		Lost: func(string) bool { return false }, MovedPoints: func(string, string) int { return 0 },
+		LastKnownHosts: func(string) []member.Member { return nil },
+		OnLookup:       func(string, string) {}, Random: func() float64 { return 0.5 },
 	}
 	u := &url.URL{Path: "/lookup"}
 	h := &http.Request{Method: http.MethodGet, URL: u}
@@ -70,7 +70,7 @@
 func (c *Capacity) newQuota(n int) *quota.Quota {
 	s := snapshot.New(newConfig(n), "")
 	o := c.Clock.Now()
-	g := grant.Grant{Floor: 1, FloorSince: o, FloorUntil: o.Add(1000 * holdTime), Unused: true}
+	g := grant.Grant{Floor: 1, FloorSince: o, FloorUntil: o.Add(1000 * holdTime), FirstUse: true}
 	return &quota.Quota{Clock: c.Clock, Account: s.Account, Grant: func(string) grant.Grant { return g }, Hold: holdTime}
 }
 
@@ -99,11 +99,11 @@
 
 // loadSumTime measures how long the planner takes to sum up the loads of n hosts.
 func (c *Capacity) loadSumTime(n int) float64 {
-	g := &gauge.Gauge{Clock: c.Clock, Window: holdTime, Hold: 1000 * holdTime}
+	g := &gauge.Gauge{Clock: c.Clock, Window: holdTime, Timeout: 1000 * holdTime}
 	for i := range n {
 		h := newHeartbeat(0, 0)
 		h.From = newHost(i)
-		g.Note(h)
+		g.Record(h)
 	}
 	s := []string{"service-0", "service-1", "service-2"}
 	var r []string
@@ -117,11 +117,11 @@
 
 func (c *Capacity) ticketSize(n int) float64 {
 	t := &ticket.Ticket{
-		Clock: c.Clock, Host: "host", Incarnation: 1, Lifetime: 1000 * holdTime, Bytes: 1 << 30, Limit: n + 1,
-		Find: func(string, uint64) (string, bool) { return "", false },
+		Clock: c.Clock, Host: "host", Incarnation: 1, Lifetime: 1000 * holdTime, MaxAnswerBytes: 1 << 30, MaxUsed: n + 1,
+		HostAddress: func(string, uint64) (string, bool) { return "", false },
 	}
 	return measurement.Bytes(func() any {
-		for _, id := range t.Mint("account", n) {
+		for _, id := range t.Issue("account", n) {
 			r, _ := t.Begin(context.Background(), "account", id, id, "")
 			r.State = record.Done
 			t.End("account", id, r)
@@ -136,7 +136,7 @@
 	c := clockwork.NewFakeClock()
 	b := &burn.Burn{
 		Clock: c, Latency: func(string) time.Duration { return time.Second },
-		Loads: func() []*wire.Load { return nil },
+		SlotLoads: func() []*wire.Load { return nil },
 	}
 	o := outcome.Outcome{Outcome: outcome.Answered, Ran: outcome.RanYes}
 	return measurement.Bytes(func() any {
--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -64,7 +64,7 @@
 
 // otherSiteHosts returns the number of other hosts in a host's site.
 func (c *Capacity) otherSiteHosts() float64 {
-	return c.Target.Nodes/c.Target.Sites - 1
+	return c.Target.Hosts/c.Target.Sites - 1
 }
 
 func (c *Capacity) roles() []role.Role {
@@ -77,37 +77,37 @@
 func (c *Capacity) lookup() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "look-up", State: c.costAt(blockBytes, t.Blocks) + c.costAt(memberBytes, t.Nodes),
-		Core: t.Lookups/t.Nodes*c.costAt(lookupTime, t.Nodes/t.Regions)/nanosPerSecond +
-			2*t.Replaced*c.costAt(rosterTime, t.Nodes)/nanosPerSecond,
-		Carries: "radix tree of client blocks; roster made anew when a host comes or goes; an account's hosts remembered",
-		Breaks:  "the roster comes from heartbeats of everybody; it has to come as a versioned content",
+		Name: "look-up", Memory: c.costAt(blockBytes, t.Blocks) + c.costAt(memberBytes, t.Hosts),
+		Core: t.Lookups/t.Hosts*c.costAt(lookupTime, t.Hosts/t.Regions)/nanosPerSecond +
+			2*t.Replacements*c.costAt(rosterTime, t.Hosts)/nanosPerSecond,
+		Mechanism:  "radix tree of client blocks; roster made anew when a host comes or goes; an account's hosts remembered",
+		Bottleneck: "the roster comes from heartbeats of everybody; it has to come as a versioned content",
 	}
 }
 
 func (c *Capacity) admission() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "admission", State: c.costAt(admitBytes, siteAccounts),
-		Core:    t.Lookups / t.Nodes * c.costAt(admitTime, clientAccounts) / nanosPerSecond,
-		Carries: "buckets made on first use; one hash a request",
+		Name: "admission", Memory: c.costAt(admitBytes, siteAccounts),
+		Core:      t.Lookups / t.Hosts * c.costAt(admitTime, clientAccounts) / nanosPerSecond,
+		Mechanism: "buckets made on first use; one hash a request",
 	}
 }
 
 func (c *Capacity) queue() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "queue", State: c.costAt(waitBytes, waitingRequests),
-		Core:    t.Lookups / t.Nodes * c.costAt(waitTime, waitingRequests) / nanosPerSecond,
-		Carries: "accounts in a heap by their next turn, requests of an account in a list",
+		Name: "queue", Memory: c.costAt(waitBytes, waitingRequests),
+		Core:      t.Lookups / t.Hosts * c.costAt(waitTime, waitingRequests) / nanosPerSecond,
+		Mechanism: "accounts in a heap by their next turn, requests of an account in a list",
 	}
 }
 
 func (c *Capacity) balancer() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "balancer", Core: t.Lookups / t.Nodes * c.costAt(pickTime, domainBackends) / nanosPerSecond,
-		Carries: "two candidates of those with a free slot; only a domain's own backend servers",
+		Name: "balancer", Core: t.Lookups / t.Hosts * c.costAt(pickTime, domainBackends) / nanosPerSecond,
+		Mechanism: "two candidates of those with a free slot; only a domain's own backend servers",
 	}
 }
 
@@ -119,13 +119,13 @@
 	t := c.Target
 	f := t.Sites/t.Domains - 1 + t.Domains - 1
 	n := c.otherSiteHosts()/heartbeatSeconds + f/remoteHeartbeatSeconds
-	b := c.costAt(heartbeatBytes, 0) + heartbeatDemands*c.slopes[demandBytes].Each
+	b := c.costAt(heartbeatBytes, 0) + heartbeatDemands*c.slopes[demandBytes].Slope
 	return role.Role{
-		Name: "membership", State: c.costAt(heartbeatBytes, t.Nodes/t.Sites) * (c.otherSiteHosts() + f), Messages: 2 * n, Traffic: 2 * b * n,
-		Core:    2 * n * c.costAt(heartbeatTime, 1) / nanosPerSecond,
-		Carries: "heartbeats inside a site; one host speaks for a site and for a domain; lists of hosts only when they change",
-		Breaks: fmt.Sprintf("everybody beats to everybody five times a second: %s a second for each host",
-			formatBytes(2*t.Nodes/heartbeatInterval.Seconds()*c.costAt(heartbeatBytes, 0))),
+		Name: "membership", Memory: c.costAt(heartbeatBytes, t.Hosts/t.Sites) * (c.otherSiteHosts() + f), Messages: 2 * n, Traffic: 2 * b * n,
+		Core:      2 * n * c.costAt(heartbeatTime, 1) / nanosPerSecond,
+		Mechanism: "heartbeats inside a site; one host speaks for a site and for a domain; lists of hosts only when they change",
+		Bottleneck: fmt.Sprintf("everybody beats to everybody five times a second: %s a second for each host",
+			formatBytes(2*t.Hosts/heartbeatInterval.Seconds()*c.costAt(heartbeatBytes, 0))),
 	}
 }
 
@@ -133,23 +133,23 @@
 	t := c.Target
 	p := siteAccounts * (c.otherSiteHosts() + 1)
 	return role.Role{
-		Name: "quota", State: c.costAt(divisionBytes, p), Traffic: c.costAt(divisionBytes, p) / divisionIntervalSeconds * divisionChangedFraction,
+		Name: "quota", Memory: c.costAt(divisionBytes, p), Traffic: c.costAt(divisionBytes, p) / divisionIntervalSeconds * divisionChangedFraction,
 		Writes: t.Domains / divisionIntervalSeconds, Reads: t.Domains * pollersPerDomain,
-		Core:    c.costAt(divisionTime, p) / nanosPerSecond / divisionIntervalSeconds * divisionChangedFraction,
-		Carries: "divisions in two levels, domain and host, sent as deltas",
-		Breaks: fmt.Sprintf("one division for all: %s for %d accounts and all hosts",
-			formatBytes(c.costAt(divisionBytes, clientAccounts*t.Nodes)), clientAccounts),
+		Core:      c.costAt(divisionTime, p) / nanosPerSecond / divisionIntervalSeconds * divisionChangedFraction,
+		Mechanism: "divisions in two levels, domain and host, sent as deltas",
+		Bottleneck: fmt.Sprintf("one division for all: %s for %d accounts and all hosts",
+			formatBytes(c.costAt(divisionBytes, clientAccounts*t.Hosts)), clientAccounts),
 	}
 }
 
 func (c *Capacity) configuration() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "configuration", State: c.costAt(snapshotBytes, clientAccounts) + c.costAt(contentBytes, clientAccounts),
+		Name: "configuration", Memory: c.costAt(snapshotBytes, clientAccounts) + c.costAt(contentBytes, clientAccounts),
 		Messages: relayFanout * t.Changes, Traffic: relayFanout * t.Changes * changeBytes,
 		Reads: t.Domains * pollersPerDomain, Writes: t.Changes, Core: t.Changes * c.costAt(deltaTime, clientAccounts) / nanosPerSecond,
-		Carries: "deltas through a tree of relays, indexes changed in place",
-		Breaks: fmt.Sprintf("each version is read and indexed whole on every host: %.1f%% of a core",
+		Mechanism: "deltas through a tree of relays, indexes changed in place",
+		Bottleneck: fmt.Sprintf("each version is read and indexed whole on every host: %.1f%% of a core",
 			100*t.Changes*c.costAt(readTime, clientAccounts)/nanosPerSecond),
 	}
 }
@@ -158,16 +158,16 @@
 	t := c.Target
 	return role.Role{
 		Name: "planner", Reads: 1, Writes: 1 / planIntervalSeconds, Core: c.costAt(loadSumTime, t.Sites) / nanosPerSecond,
-		Carries: "one host at a time sums up sites once a second",
-		Breaks:  "it sums up every host's heartbeats: " + formatNanoseconds(c.costAt(loadSumTime, t.Nodes)) + " for each look",
+		Mechanism:  "one host at a time sums up sites once a second",
+		Bottleneck: "it sums up every host's heartbeats: " + formatNanoseconds(c.costAt(loadSumTime, t.Hosts)) + " for each look",
 	}
 }
 
 func (c *Capacity) idempotency() role.Role {
 	return role.Role{
-		Name: "idempotency", State: c.costAt(ticketBytes, usedTickets), Writes: 2 * idempotencyIDRequests,
-		Carries: "tickets, from memory; the table for callers' own ids (at that size too few a host to share commits)",
-		Breaks:  fmt.Sprintf("more than %d requests a second with callers' own ids over all hosts", idempotencyIDRequests),
+		Name: "idempotency", Memory: c.costAt(ticketBytes, usedTickets), Writes: 2 * idempotencyIDRequests,
+		Mechanism:  "tickets, from memory; the table for callers' own ids (at that size too few a host to share commits)",
+		Bottleneck: fmt.Sprintf("more than %d requests a second with callers' own ids over all hosts", idempotencyIDRequests),
 	}
 }
 
@@ -175,10 +175,10 @@
 func (c *Capacity) burn() role.Role {
 	t := c.Target
 	return role.Role{
-		Name: "burn report", State: c.costAt(countBytes, limitedAccounts) * secondCountMinutes, Writes: t.Domains / countWriteSeconds,
-		Carries: "seconds are kept for accounts at their limit only, the others' by the minute; sums by failure domain are kept on the platform",
-		Breaks: fmt.Sprintf("seconds of every account: %s for %d accounts; counts kept by host: %.0f commits/s",
-			formatBytes(c.costAt(countBytes, siteAccounts)*secondCountMinutes), siteAccounts, t.Nodes/countWriteSeconds*2),
+		Name: "burn report", Memory: c.costAt(countBytes, limitedAccounts) * secondCountMinutes, Writes: t.Domains / countWriteSeconds,
+		Mechanism: "seconds are kept for accounts at their limit only, the others' by the minute; sums by failure domain are kept on the platform",
+		Bottleneck: fmt.Sprintf("seconds of every account: %s for %d accounts; counts kept by host: %.0f commits/s",
+			formatBytes(c.costAt(countBytes, siteAccounts)*secondCountMinutes), siteAccounts, t.Hosts/countWriteSeconds*2),
 	}
 }
 
--- a/capacity/worstcases.go
+++ b/capacity/worstcases.go
@@ -14,7 +14,7 @@
 // on other hosts.
 func (c *Capacity) printWorstCases() {
 	t := c.Target
-	d := t.Nodes / t.Domains
+	d := t.Hosts / t.Domains
 	o := c.costAt(contentBytes, clientAccounts)
 	fmt.Fprintln(c.Out, "| event | what it asks of the platform and of peers | carried by |")
 	fmt.Fprintln(c.Out, "|---|---|---|")
@@ -25,5 +25,5 @@
 	fmt.Fprintf(c.Out, "| the store is back after an hour | %.0f reads/s by pollers as ever; %.0f commits of divisions; ended records of callers' own ids: %.0f rows at most from before, in commits of 32 | only pollers and authors ask, with the pace they always have |\n",
 		t.Domains*pollersPerDomain, t.Domains, float64(idempotencyIDRequests))
 	fmt.Fprintf(c.Out, "| all hosts ask the store at once | %.0f reads/s would take %.1f s of its %.0f reads/s | they do not: two hosts a domain do |\n",
-		t.Nodes, t.Nodes/t.StoreReads, t.StoreReads)
+		t.Hosts, t.Hosts/t.StoreReads, t.StoreReads)
 }
--- a/certs/certs.go
+++ b/certs/certs.go
@@ -49,19 +49,19 @@
 
 // Server returns the TLS configuration of an address whose clients authenticate with
 // keys instead of certificates.
-func (c *Certs) Server() *tls.Config {
+func (c *Certs) ServerConfig() *tls.Config {
 	return c.server(tls.NoClientCert)
 }
 
 // Mutual returns the TLS configuration of an address that requires a client certificate
 // issued by the authority.
-func (c *Certs) Mutual() *tls.Config {
+func (c *Certs) MutualConfig() *tls.Config {
 	return c.server(tls.RequireAndVerifyClientCert)
 }
 
 // Client returns the TLS configuration of one connection to another host, whose
 // certificate must be valid for name. Certificate.ServerName, if set, replaces name.
-func (c *Certs) Client(name string) *tls.Config {
+func (c *Certs) ClientConfig(name string) *tls.Config {
 	p, a := c.current()
 	if c.Certificate.ServerName != "" {
 		name = c.Certificate.ServerName
--- a/change/change.go
+++ b/change/change.go
@@ -24,7 +24,7 @@
 	Clock clockwork.Clock
 	// Accepted is called with a version that was just accepted, so that it is
 	// put in force and relayed at once; nil means no call.
-	Accepted func(a accepted.Accepted, content []byte)
+	OnAccepted func(a accepted.Accepted, content []byte)
 }
 
 // Commit accepts n as the successor of version from. If another version was
@@ -37,8 +37,8 @@
 		return accepted.Accepted{}, false, errors.Wrap(err, "configuration")
 	}
 	a, ok, err := c.newPublish().Commit(ctx, from, b)
-	if err == nil && ok && c.Accepted != nil {
-		c.Accepted(a, b)
+	if err == nil && ok && c.OnAccepted != nil {
+		c.OnAccepted(a, b)
 	}
 	return a, ok, err
 }
@@ -71,7 +71,7 @@
 	if !ok {
 		return nil, errors.Errorf("hash of configuration version %d is no longer stored", version)
 	}
-	b, err := c.Platform.GetObject(ctx, accepted.ObjectName(accepted.RowKey, h))
+	b, err := c.Platform.GetObject(ctx, accepted.ObjectName(accepted.ConfigKey, h))
 	if err != nil {
 		return nil, err
 	}
@@ -84,5 +84,5 @@
 	if k == nil {
 		k = clockwork.NewRealClock()
 	}
-	return &publish.Publish{Clock: k, Platform: c.Platform, Key: accepted.RowKey}
+	return &publish.Publish{Clock: k, Platform: c.Platform, Key: accepted.ConfigKey}
 }
--- a/cmd/backend.go
+++ b/cmd/backend.go
@@ -34,7 +34,7 @@
 	}
 	b := &backendstandin.Backendstandin{
 		Clock: clockwork.NewRealClock(), Name: c.String("name"), Slots: c.Int("slots"),
-		Work: c.Duration("work"), ColdFor: c.Duration("cold"),
+		RequestDuration: c.Duration("work"), ColdFor: c.Duration("cold"),
 	}
 	logger().Info("backend stand-in serves", "Address", n.Addr(), "Name", b.Name)
 	return (&httplisten.Httplisten{Listener: n, Handler: b, DrainTimeout: time.Second}).Run(ctx)
--- a/cmd/block.go
+++ b/cmd/block.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return &exitError{code: exitInvalid, text: err.Error()}
 	}
-	p := (&platformclient.Platformclient{URL: c.String("platform"), Timeout: callTimeout}).Platform()
+	p := (&platformclient.Platformclient{URL: c.String("platform"), Timeout: callTimeout}).Store()
 	n, err := loadFromPlatform(ctx, p)
 	if err != nil {
 		return err
--- a/cmd/connection.go
+++ b/cmd/connection.go
@@ -66,7 +66,7 @@
 	n := &connection{transport: t}
 	if u := c.String("platform"); u != "" {
 		p := &platformclient.Platformclient{URL: u, Timeout: callTimeout}
-		n.usePlatform(p.Platform())
+		n.usePlatform(p.Store())
 		return n, nil
 	}
 	k, err := m.operatorKey(c)
@@ -78,7 +78,7 @@
 		return nil, &exitError{code: exitUsage, text: "a host and an operator's key are needed: set " + operatorVariable + " and " + keyVariable}
 	}
 	n.client = &operatorclient.Operatorclient{URL: strings.TrimSuffix(u, "/"), Key: k, Timeout: callTimeout, Transport: t}
-	n.load, n.loadVersion, n.commit = n.client.Config, n.client.Former, n.client.Change
+	n.load, n.loadVersion, n.commit = n.client.Config, n.client.ConfigVersion, n.client.CommitConfig
 	return n, nil
 }
 
@@ -138,7 +138,7 @@
 	}
 	n.commit = func(ctx context.Context, from uint64, c *config.Config) (accepted.Accepted, error) {
 		if e := validate.Config(c); len(e) > 0 {
-			return accepted.Accepted{}, &problem.Problem{Problem: problem.Mistaken, Message: "nothing was changed", Mistakes: e}
+			return accepted.Accepted{}, &problem.Problem{Problem: problem.InvalidConfig, Message: "nothing was changed", Mistakes: e}
 		}
 		a, ok, err := (&change.Change{Platform: p}).Commit(ctx, from, *c)
 		if err == nil && !ok {
@@ -150,7 +150,7 @@
 
 // loadFromPlatform reads the accepted configuration from the platform.
 func loadFromPlatform(ctx context.Context, p store.Store) (*config.Config, error) {
-	r, err := p.Read(ctx, accepted.RowKey)
+	r, err := p.Read(ctx, accepted.ConfigKey)
 	if err != nil {
 		return nil, err
 	}
@@ -161,7 +161,7 @@
 	if err := codec.Unmarshal(r.Value, &a); err != nil {
 		return nil, errors.Wrap(err, "accepted version")
 	}
-	b, err := p.GetObject(ctx, accepted.ObjectName(accepted.RowKey, a.Hash))
+	b, err := p.GetObject(ctx, accepted.ObjectName(accepted.ConfigKey, a.Hash))
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/exit.go
+++ b/cmd/exit.go
@@ -38,7 +38,7 @@
 		return f.code
 	}
 	var p *problem.Problem
-	if errors.As(err, &p) && p.Problem == problem.Mistaken {
+	if errors.As(err, &p) && p.Problem == problem.InvalidConfig {
 		return exitInvalid
 	}
 	var e cli.ExitCoder
--- a/cmd/experiment.go
+++ b/cmd/experiment.go
@@ -41,7 +41,7 @@
 func runExperimentQuota(_ context.Context, c *cli.Command) error {
 	e := &experiment.Experiment{
 		Out: c.Root().Writer, Seed: c.Uint64("seed"), Short: c.Bool("short"), Holders: c.IntSlice("holders"),
-		Ways: c.StringSlice("way"), Scenarios: c.StringSlice("scenario"),
+		Methods: c.StringSlice("way"), Scenarios: c.StringSlice("scenario"),
 	}
 	return e.Run()
 }
--- a/cmd/experimentplacement.go
+++ b/cmd/experimentplacement.go
@@ -34,12 +34,12 @@
 	l := placementplot.New()
 	fmt.Fprintln(t, "trouble\tway\tin time, all\tin the trouble\tafter it")
 	for _, x := range []string{
-		placementtrial.Calm, placementtrial.Lost, placementtrial.Short, placementtrial.Slow, placementtrial.Burst, placementtrial.Bound,
+		placementtrial.Calm, placementtrial.Lost, placementtrial.Short, placementtrial.Slow, placementtrial.Burst, placementtrial.Restricted,
 	} {
 		for _, w := range []string{
-			placementtrial.Random, placementtrial.LeastLoaded, placementtrial.Affinity, placementtrial.Anywhere, placementtrial.Eager, placementtrial.Product,
+			placementtrial.Random, placementtrial.LeastLoaded, placementtrial.Affinity, placementtrial.Anywhere, placementtrial.Eager, placementtrial.Current,
 		} {
-			p := &placementtrial.Placementtrial{Seed: c.Uint64("seed"), For: d, Way: w, Trouble: x, Regions: c.Int("regions")}
+			p := &placementtrial.Placementtrial{Seed: c.Uint64("seed"), For: d, Policy: w, Trouble: x, Regions: c.Int("regions")}
 			p.Run()
 			l.Add(p)
 			fmt.Fprintf(t, "%s\t%s\t%.3f\t%.3f\t%.3f\n", x, w, p.Timely(0, d), p.Timely(4*time.Second, 12*time.Second), p.Timely(12*time.Second, d))
--- a/cmd/status_why.go
+++ b/cmd/status_why.go
@@ -49,7 +49,7 @@
 		if w.Point >= f && w.Point < s.Until {
 			h = "  <- here"
 		}
-		m.printf("  %6.2f%% to %s%s\n", 100*float64(s.Until-f)/route.Points, s.Region, h)
+		m.printf("  %6.2f%% to %s%s\n", 100*float64(s.Until-f)/route.TotalPoints, s.Region, h)
 		f = s.Until
 	}
 	var d []string
--- a/coldpace/coldpace.go
+++ b/coldpace/coldpace.go
@@ -33,7 +33,7 @@
 
 // Part returns how many requests this host may send in any second to a cold backend
 // server that can handle rate requests per second.
-func (c *Coldpace) Part(backend string, rate float64) int {
+func (c *Coldpace) Share(backend string, rate float64) int {
 	t := int((rate*c.Overage + c.Slack) * safetyFactor)
 	h := c.Hosts()
 	if len(h) == 0 {
--- a/coldpace/coldpace_test.go
+++ b/coldpace/coldpace_test.go
@@ -25,7 +25,7 @@
 		sum := 0
 		for _, v := range h {
 			c := coldpace.Coldpace{Self: v, Hosts: func() []string { return h }, Overage: 1.5, Slack: 5}
-			sum += c.Part("b", r)
+			sum += c.Share("b", r)
 		}
 		must.LessEq(t, r*1.5+5, float64(sum))
 		must.Positive(t, sum)
--- a/config/config.go
+++ b/config/config.go
@@ -61,7 +61,7 @@
 
 // InForce returns the preset that the configuration names. Validation ensures that
 // there is exactly one.
-func (c *Config) InForce() preset.Preset {
+func (c *Config) ActivePreset() preset.Preset {
 	for _, p := range c.Presets {
 		if p.Name == c.Preset {
 			return p
--- a/configtrial/configtrial.go
+++ b/configtrial/configtrial.go
@@ -132,7 +132,7 @@
 	if err != nil {
 		return nil, err
 	}
-	q.Header.Set("Authorization", "Bearer "+c.fleet.Operator)
+	q.Header.Set("Authorization", "Bearer "+c.fleet.OperatorKey)
 	r, err := http.DefaultClient.Do(q)
 	if err != nil {
 		return nil, err
--- a/contention/contention.go
+++ b/contention/contention.go
@@ -209,10 +209,10 @@
 }
 
 func (c *Contention) fairQueue() queueFuncs {
-	q := &queue.Queue{Clock: c.timeline.Clock, Acquire: c.acquire, Limit: 10_000, Patience: c.Patience}
+	q := &queue.Queue{Clock: c.timeline.Clock, Acquire: c.acquire, Limit: 10_000, NewestFirstAfter: c.Patience}
 	return queueFuncs{
 		enter: func(v *caller) {
-			d, f := q.Enter(background, accountName(v.account), maxWait)
+			d, f := q.Enqueue(background, accountName(v.account), maxWait)
 			v.leave = f
 			v.decided = func() (slot.Slot, string, bool) {
 				s, o, ok := d()
@@ -220,7 +220,7 @@
 			}
 		},
 		leave: func(v *caller) { v.leave() },
-		kick:  q.Kick,
+		kick:  q.GrantFree,
 		sweep: q.Sweep,
 	}
 }
--- a/copier/copier.go
+++ b/copier/copier.go
@@ -54,8 +54,8 @@
 	var r []*wire.Version
 	for _, m := range c.Mirrors {
 		v := &wire.Version{Kind: m.Name, Version: m.Version()}
-		if m.Store != nil {
-			v.AgeNanoseconds = m.Store.Own()
+		if m.StoreFreshness != nil {
+			v.AgeNanoseconds = m.StoreFreshness.OwnAge()
 		}
 		r = append(r, v)
 	}
@@ -64,16 +64,16 @@
 
 // Heard processes the versions that a host reports, and queues fetches of newer
 // ones. It never blocks.
-func (c *Copier) Heard(address string, l []*wire.Version) {
+func (c *Copier) HandleVersions(address string, l []*wire.Version) {
 	for _, v := range l {
 		for _, m := range c.Mirrors {
 			if m.Name != v.GetKind() {
 				continue
 			}
-			if m.Store != nil {
-				m.Store.Heard(v.GetAgeNanoseconds())
+			if m.StoreFreshness != nil {
+				m.StoreFreshness.RecordRemoteAge(v.GetAgeNanoseconds())
 			}
-			if !m.Wants(v.GetVersion()) {
+			if !m.NeedsPeerCopy(v.GetVersion()) {
 				continue
 			}
 			select {
@@ -112,7 +112,7 @@
 }
 
 func (c *Copier) fetch(ctx context.Context, w fetchJob) {
-	if !w.mirror.Wants(w.version) {
+	if !w.mirror.NeedsPeerCopy(w.version) {
 		return
 	}
 	x, f := deadline.With(ctx, c.Clock, fetchTimeout)
--- a/demand/demand.go
+++ b/demand/demand.go
@@ -30,7 +30,7 @@
 }
 
 // Note stores the report of a host: requests per second by account.
-func (d *Demand) Note(host string, rates map[string]float64) {
+func (d *Demand) Record(host string, rates map[string]float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.reports == nil {
@@ -66,7 +66,7 @@
 }
 
 // Of returns the newest report of a host.
-func (d *Demand) Of(host string) map[string]float64 {
+func (d *Demand) ForHost(host string) map[string]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.reports[host].rates
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -36,7 +36,7 @@
 func (d *Demo) Run(ctx context.Context) error {
 	f := &fleet.Fleet{
 		Clock: d.Clock, Log: d.Log, Config: newConfig(), HostsPerDomain: 1, BackendsPerService: backendsPerService,
-		Slots: slotsPerBackend, Work: backendWork, Cold: backendCold,
+		Slots: slotsPerBackend, RequestDuration: backendWork, ColdFor: backendCold,
 	}
 	c := &counter.Counter{Prefix: "Demo."}
 	p := &sample.Sample{Clock: d.Clock, Counter: c, Seed: 1}
@@ -68,7 +68,7 @@
 
   operators
     export CELERYREACH_OPERATOR=http://%s CELERYREACH_OPERATOR_KEY=%s
-`, len(f.Hosts()), len(f.Config.Regions), s.CallerAddress, a, f.Keys[a], s.CallerAddress, f.Keys[a], s.CallerAddress, s.OperatorAddress, f.Operator)
+`, len(f.Hosts()), len(f.Config.Regions), s.CallerAddress, a, f.Keys[a], s.CallerAddress, f.Keys[a], s.CallerAddress, s.OperatorAddress, f.OperatorKey)
 	for _, c := range []string{"status", "preset list", "preset use -wait Peak", "key issue " + a, "key list", "config show", "report burn"} {
 		fmt.Fprintf(d.Out, "    go run . %s\n", c)
 	}
--- a/demo/summary.go
+++ b/demo/summary.go
@@ -24,7 +24,7 @@
 		case k == outcome.Left:
 			left += v
 			continue
-		case strings.HasPrefix(k, sample.NotRun):
+		case strings.HasPrefix(k, sample.NotRunPrefix):
 			notRun += v
 		default:
 			unknown += v
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -71,7 +71,7 @@
 // entries of healthy backend servers expire, so entries that are missing stay in use until
 // uncertainUntil. If that time has passed, missing entries are dropped at once, also when
 // the list comes from another host because this one can't reach the store.
-func (d *Discovery) Backends(l []backend.Backend, uncertainUntil time.Time) {
+func (d *Discovery) SetBackends(l []backend.Backend, uncertainUntil time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.entries == nil {
@@ -96,7 +96,7 @@
 }
 
 // Evacuated sets the failure domains whose backend servers get no new requests.
-func (d *Discovery) Evacuated(z map[string]bool) {
+func (d *Discovery) SetEvacuated(z map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := d.Clock.Now()
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -77,14 +77,14 @@
 	for _, n := range names {
 		l = append(l, backend.Backend{Name: n, Service: "listings", Domain: "lagos-1", Revision: w.revision})
 	}
-	w.discovery.Backends(l, w.clock.Now().Add(doubt))
+	w.discovery.SetBackends(l, w.clock.Now().Add(doubt))
 }
 
 func cold(ts *testscript.TestScript, _ bool, a []string) {
 	w := fixtureOf(ts)
 	d := scripttest.Scripttest{Script: ts}.Duration(a[1])
 	w.revision++
-	w.discovery.Backends([]backend.Backend{{
+	w.discovery.SetBackends([]backend.Backend{{
 		Name: a[0], Service: "listings", Domain: "lagos-1", ColdFor: d, Revision: w.revision,
 	}}, time.Time{})
 }
@@ -94,7 +94,7 @@
 	for _, d := range a {
 		z[d] = true
 	}
-	fixtureOf(ts).discovery.Evacuated(z)
+	fixtureOf(ts).discovery.SetEvacuated(z)
 }
 
 func after(ts *testscript.TestScript, _ bool, a []string) {
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -42,12 +42,12 @@
 	Clock clockwork.Clock
 	// Place returns a slot for a request, or the outcome that explains why there is
 	// none. If nil, Queue is used.
-	Place func(ctx context.Context, r *request.Request) (slot.Slot, outcome.Outcome)
+	AcquireSlot func(ctx context.Context, r *request.Request) (slot.Slot, outcome.Outcome)
 	// Queue returns the queue of a service, or nil if the service is not known.
 	Queue func(service string) *queue.Queue
 	// Keep allows kept-alive connections for the first attempt of non-idempotent
 	// requests, for backend servers on which opening a connection costs too much.
-	Keep bool
+	ReuseForNonIdempotent bool
 	// Valid reports whether a key is still in force.
 	Valid func(c credential.Credential) bool
 	// Confirm reports whether the rate token of a request may still be used.
@@ -64,7 +64,7 @@
 	Whole *whole.Whole
 	// Linger is how long the slot of a canceled request stays occupied: the backend
 	// server continues to work until it notices that the connection was closed.
-	Linger time.Duration
+	CancelReleaseDelay time.Duration
 }
 
 // attempt is the result of sending a request once: the response, of which only the
@@ -83,11 +83,11 @@
 func (d *Dispatch) Serve(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
 	x, f := deadline.With(ctx, d.Clock, r.Deadline.Sub(d.Clock.Now()))
 	defer f()
-	d.Budget.First(r.Service.Name)
+	d.Budget.CountRequest(r.Service.Name)
 	if !r.NonIdempotent {
 		return d.serveIdempotent(x, r, w)
 	}
-	t := d.attempt(x, r, !d.Keep, func() {})
+	t := d.attempt(x, r, !d.ReuseForNonIdempotent, func() {})
 	for n := 1; n < attemptLimit(r) && d.mayRetry(t.outcome, r); n++ {
 		t = d.attempt(x, r, true, func() {})
 	}
@@ -106,8 +106,8 @@
 
 // waitForSlot returns a slot for r, or the outcome that explains why there is none.
 func (d *Dispatch) waitForSlot(ctx context.Context, r *request.Request) (slot.Slot, outcome.Outcome) {
-	if d.Place != nil {
-		return d.Place(ctx, r)
+	if d.AcquireSlot != nil {
+		return d.AcquireSlot(ctx, r)
 	}
 	q := d.Queue(r.Service.Name)
 	if q == nil {
@@ -151,7 +151,7 @@
 		return attempt{answer: p, slot: s}
 	}
 	o := d.handleSendError(ctx, r, s, n, err)
-	if o.Ran == outcome.RanNo && !r.Gate.Return() {
+	if o.Ran == outcome.RanNo && !r.Gate.Unsend() {
 		o = refuse(outcome.Left, "the caller left")
 	}
 	return attempt{outcome: o}
@@ -167,7 +167,7 @@
 	case ctx.Err() != nil:
 		d.releaseCanceled(s, ran)
 		return contextOutcome(ctx, ran)
-	case !ran && (isDialError(err) || errors.Is(err, upstream.ErrElsewhere)):
+	case !ran && (isDialError(err) || errors.Is(err, upstream.ErrWrongBackend)):
 		s.Release(result.Refused)
 		return refuse(outcome.NoCapacity, msgNoConnection)
 	case !ran:
@@ -197,7 +197,7 @@
 	if !s && !b || !rewindBody(r) {
 		return false
 	}
-	return d.Budget.Second(r.Service.Name)
+	return d.Budget.TakeRetry(r.Service.Name)
 }
 
 // copyAnswer copies the response of an attempt to the caller, or returns the attempt's
@@ -210,9 +210,9 @@
 	switch {
 	case err == nil:
 		return outcome.Outcome{Outcome: outcome.Answered, Ran: outcome.RanYes}
-	case errors.Is(err, whole.ErrBackend) && ctx.Err() != nil:
+	case errors.Is(err, whole.ErrTruncated) && ctx.Err() != nil:
 		return contextOutcome(ctx, true)
-	case errors.Is(err, whole.ErrBackend):
+	case errors.Is(err, whole.ErrTruncated):
 		return incompleteOutcome(r, err)
 	default:
 		panic(http.ErrAbortHandler)
@@ -238,11 +238,11 @@
 		s.Release(result.Unused)
 		return
 	}
-	if d.Linger <= 0 {
+	if d.CancelReleaseDelay <= 0 {
 		s.Release(result.Canceled)
 		return
 	}
-	d.Clock.AfterFunc(d.Linger, func() { s.Release(result.Canceled) })
+	d.Clock.AfterFunc(d.CancelReleaseDelay, func() { s.Release(result.Canceled) })
 }
 
 // contextOutcome returns the outcome of a request whose context has ended.
--- a/dispatch/race.go
+++ b/dispatch/race.go
@@ -55,7 +55,7 @@
 			}
 		case <-c:
 			c = nil
-			if a.canStart() && rewindBody(a.request) && a.dispatch.Budget.Second(a.request.Service.Name) {
+			if a.canStart() && rewindBody(a.request) && a.dispatch.Budget.TakeRetry(a.request.Service.Name) {
 				a.startAttempt(ctx, true)
 			}
 		case t := <-a.results:
--- a/division/division.go
+++ b/division/division.go
@@ -60,7 +60,7 @@
 
 // Part returns the part of a limit that h holds.
 func (d *Division) Part(limit string, h holder.Holder) part.Part {
-	if !d.Names(h) {
+	if !d.Includes(h) {
 		return part.Part{}
 	}
 	if p, ok := d.Parts[limit]; ok {
@@ -70,10 +70,10 @@
 		return part.Part{}
 	}
 	var p part.Part
-	if d.Chief(limit, h.Domain) == h.Name {
+	if d.DefaultHolder(limit, h.Domain) == h.Name {
 		p.Floor = d.FloorSpans[h.Domain]
 	}
-	if d.Chief(limit, "") == h.Name {
+	if d.DefaultHolder(limit, "") == h.Name {
 		p.Leased = d.LeasedSpans
 	}
 	return p
@@ -95,7 +95,7 @@
 // Chief returns the name of the holder that rendezvous hashing chooses for a
 // limit. The candidates are the processes of a failure domain, the silent ones
 // included, or, if domain is empty, all that hold leased parts.
-func (d *Division) Chief(limit, domain string) string {
+func (d *Division) DefaultHolder(limit, domain string) string {
 	n, m := "", uint64(0)
 	for i := range len(d.Holders) + len(d.Silent) {
 		var h holder.Holder
@@ -127,12 +127,12 @@
 }
 
 // Names reports whether h holds parts in this division.
-func (d *Division) Names(h holder.Holder) bool {
+func (d *Division) Includes(h holder.Holder) bool {
 	return find(d.Holders, h) || find(d.Silent, h)
 }
 
 // Leases reports whether h holds leased parts and confirms the epoch.
-func (d *Division) Leases(h holder.Holder) bool {
+func (d *Division) HoldsLease(h holder.Holder) bool {
 	return find(d.Holders, h)
 }
 
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -84,22 +84,22 @@
 	DecodeBackends func(rows map[string]row.Row) []backend.Backend
 	// Announce adds this host to the list of hosts in the store, Withdraw removes it,
 	// and Listed reads the list.
-	Announce func(ctx context.Context, m member.Member) error
-	Withdraw func(ctx context.Context, m member.Member) error
-	Listed   func(ctx context.Context) ([]member.Member, error)
+	Announce  func(ctx context.Context, m member.Member) error
+	Withdraw  func(ctx context.Context, m member.Member) error
+	ReadHosts func(ctx context.Context) ([]member.Member, error)
 	// Upstream sends requests to backend servers.
 	Upstream *upstream.Upstream
 	// Limit returns the values of the response header in which a backend server states
 	// how many requests a second it accepts from all hosts together.
-	Limit func(h http.Header) []string
+	LimitValues func(h http.Header) []string
 	// Gateway serves requests. Its Load is set before Run, its other fields by Edge.
 	Gateway *gateway.Gateway
 	// Contact is the time after the end of an outage within which a host must again
 	// have the current configuration and list of backend servers.
-	Contact time.Duration
+	RecoveryTime time.Duration
 	// Evacuate is how long after its evacuation a failure domain may still receive
 	// requests.
-	Evacuate time.Duration
+	EvacuationTime time.Duration
 	// ColdOverage and ColdSlack define the upper bound on the request rate to a cold
 	// backend server.
 	ColdOverage, ColdSlack float64
@@ -133,8 +133,8 @@
 func (e *Edge) Run(ctx context.Context, serving ...child.Child) error {
 	e.assemble()
 	s := &peerserver.Peerserver{
-		Listener: e.Peers, OnBeat: e.membership.Receive, OnFetch: e.copier.Answer, OnBorrow: e.giveTokens, OnLend: e.receiveTokens,
-		OnNotify: e.answerNotice, OnForward: rejectForward, OnPermit: e.permits.Give,
+		Listener: e.Peers, OnHeartbeat: e.membership.Receive, OnFetch: e.copier.Answer, OnBorrow: e.giveTokens, OnLend: e.receiveTokens,
+		OnNotify: e.answerNotice, OnForward: rejectForward, OnPermit: e.permits.HandleRequest,
 	}
 	defer e.client.Close()
 	defer e.permitClient.Close()
@@ -176,7 +176,7 @@
 }
 
 // Book returns the configuration in force, nil before the first one.
-func (e *Edge) Book() *ingressbook.Ingressbook {
+func (e *Edge) Index() *ingressbook.Ingressbook {
 	return e.book.Load()
 }
 
@@ -187,19 +187,19 @@
 		e.client.Dial = dial
 	}
 	e.membership = &membership.Membership{
-		Clock: e.Clock, Log: e.Log, Self: e.self, Seeds: e.Seeds, Listed: e.cachedHostList(),
-		Partners: partners.Partners, Interval: heartbeatInterval, Hold: peerTimeout, Beat: e.client.Beat, Compose: e.composeHeartbeat, Heard: e.receiveHeartbeat,
+		Clock: e.Clock, Log: e.Log, Self: e.self, Seeds: e.Seeds, ListHosts: e.cachedHostList(),
+		Partners: partners.Select, Interval: heartbeatInterval, Hold: peerTimeout, SendHeartbeat: e.client.Beat, FillHeartbeat: e.composeHeartbeat, OnHeartbeat: e.receiveHeartbeat,
 	}
 	e.borrower = borrower.New()
 	e.borrower.Clock, e.borrower.Self, e.borrower.Hosts = e.Clock, e.self, e.membership.Alive
-	e.borrower.Log, e.borrower.Borrow, e.borrower.Bring = e.Log, e.client.Borrow, e.client.Lend
-	e.tokens = &tokens.Tokens{Clock: e.Clock, Self: e.Self.Name, Hosts: e.knownHostNames, Ask: e.borrower.Ask, Lend: e.borrower.Lend}
-	e.borrower.Received, e.borrower.Asked = e.tokens.Receive, e.tokens.Asked
+	e.borrower.Log, e.borrower.Borrow, e.borrower.Deliver = e.Log, e.client.Borrow, e.client.Lend
+	e.tokens = &tokens.Tokens{Clock: e.Clock, Self: e.Self.Name, Hosts: e.knownHostNames, StartBorrowing: e.borrower.Request, Lend: e.borrower.Lend}
+	e.borrower.Received, e.borrower.RequestDone = e.tokens.Receive, e.tokens.BorrowingDone
 	e.setUpBackendLimits()
 	e.setUpPermits()
 	e.placement = &placement.Placement{
-		Clock: e.Clock, Log: e.Log, Region: e.Self.Region, Far: remoteWeight, Rate: e.coldRate, Limit: e.limits,
-		Pace: &coldpace.Coldpace{Self: e.Self.Name, Hosts: e.membership.Known, Overage: e.ColdOverage, Slack: e.ColdSlack},
+		Clock: e.Clock, Log: e.Log, Region: e.Self.Region, RemoteWeight: remoteWeight, ColdCapacity: e.coldRate, Limit: e.limits,
+		ColdRate: &coldpace.Coldpace{Self: e.Self.Name, Hosts: e.membership.Known, Overage: e.ColdOverage, Slack: e.ColdSlack},
 	}
 	e.discovery = &discovery.Discovery{
 		Clock: e.Clock, Log: e.Log, WarmUp: e.warmUp, Changed: e.placement.Set,
@@ -208,22 +208,22 @@
 	e.copier.Clock, e.copier.Log, e.copier.Fetch = e.Clock, e.Log, e.client.Fetch
 	e.copier.Mirrors = []*mirror.Mirror{e.Config, e.Backends}
 	e.watchStore()
-	e.Config.Changed = e.applyConfig
-	e.Backends.Changed = func(m map[string]row.Row, doubt time.Time) { e.discovery.Backends(e.DecodeBackends(m), doubt) }
+	e.Config.OnChange = e.applyConfig
+	e.Backends.OnChange = func(m map[string]row.Row, doubt time.Time) { e.discovery.SetBackends(e.DecodeBackends(m), doubt) }
 	g := e.Gateway
-	g.Clock, g.Log, g.Book, g.Tokens, g.Placement = e.Clock, e.Log, e.book.Load, e.tokens, e.placement
+	g.Clock, g.Log, g.Index, g.Tokens, g.Placement = e.Clock, e.Log, e.book.Load, e.tokens, e.placement
 	g.StoreAge = func() (time.Duration, bool) { return storeAge(e.Config) }
 	g.Permit = e.permit
 	g.Dispatch = e.dispatch().Serve
 	g.Latency = &latency.Latency{Name: "Latency"}
 	g.Latency.Publish()
 	e.publishMetrics()
-	g.Counted = (&counter.Counter{Prefix: "Requests."}).Add
+	g.OnOutcome = (&counter.Counter{Prefix: "Requests."}).Add
 }
 
 func (e *Edge) dispatch() *dispatch.Dispatch {
 	return &dispatch.Dispatch{
-		Clock: e.Clock, Place: e.Gateway.Place, Keep: true, Valid: e.Gateway.Valid, Confirm: tokenAlwaysValid,
+		Clock: e.Clock, AcquireSlot: e.Gateway.AcquireSlot, ReuseForNonIdempotent: true, Valid: e.Gateway.Valid, Confirm: tokenAlwaysValid,
 		Upstream: e.Upstream, Hedge: newHedge(), Whole: newResponseRelay(e.Clock),
 		Budget: &budget.Budget{Ratio: func() float64 { return e.RetryRatio * retryBudgetFraction }, Limit: e.retryLimit},
 	}
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -74,9 +74,9 @@
 		DecodeBackends: decodeBackends,
 		Announce:       func(context.Context, member.Member) error { return nil },
 		Withdraw:       func(context.Context, member.Member) error { return nil },
-		Listed:         func(context.Context) ([]member.Member, error) { return w.members, nil },
-		Upstream:       w.upstream(name, region), Limit: limitValues, Gateway: &gateway.Gateway{Load: noReport},
-		Contact: w.contact, Evacuate: evacuate, ColdOverage: 1.5, ColdSlack: 5, RetryRatio: 0.2, RetrySlack: 56,
+		ReadHosts:      func(context.Context) ([]member.Member, error) { return w.members, nil },
+		Upstream:       w.upstream(name, region), LimitValues: limitValues, Gateway: &gateway.Gateway{Load: noReport},
+		RecoveryTime: w.contact, EvacuationTime: evacuate, ColdOverage: 1.5, ColdSlack: 5, RetryRatio: 0.2, RetrySlack: 56,
 		LimitOverage: limitOverage, LimitSlack: limitSlack, LimitWindow: limitWindow,
 	}
 }
@@ -95,7 +95,7 @@
 		return r, v, err
 	}
 	return &mirror.Mirror{
-		Clock: clock, Log: l, Name: name, Wait: func() time.Duration { return feedWait }, Feed: f,
+		Clock: clock, Log: l, Name: name, LongPollTimeout: func() time.Duration { return feedWait }, Feed: f,
 		Read: func(ctx context.Context) ([]row.Row, uint64, error) { return f(ctx, 0, 0) },
 	}
 }
@@ -137,8 +137,8 @@
 		w.backends.Mute(command == "silent", h...)
 	case "slow":
 		d, err := time.ParseDuration(a[0])
-		w.config.Slow(d)
-		w.backends.Slow(d)
+		w.config.SetDelay(d)
+		w.backends.SetDelay(d)
 		return "", err
 	case "configuration":
 		return "", w.writeConfig(a)
@@ -194,7 +194,7 @@
 func (w *deployment) hostsWithWrongKey(works bool, key string) string {
 	var l []string
 	for n, e := range w.hosts {
-		if (e.Book() != nil && e.Book().Account(key) != nil) != works {
+		if (e.Index() != nil && e.Index().Account(key) != nil) != works {
 			l = append(l, n)
 		}
 	}
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -69,13 +69,13 @@
 // responses.
 func (e *Edge) setUpBackendLimits() {
 	e.limits = &backendlimit.Backendlimit{
-		Clock: e.Clock, Log: e.Log, Self: e.Self.Name, Hosts: e.knownHosts, Far: remoteWeight,
-		Overage: e.LimitOverage, Slack: e.LimitSlack, Window: e.LimitWindow, News: e.membership.Hurry,
+		Clock: e.Clock, Log: e.Log, Self: e.Self.Name, Hosts: e.knownHosts, RemoteWeight: remoteWeight,
+		Overage: e.LimitOverage, Slack: e.LimitSlack, Window: e.LimitWindow, Notify: e.membership.SendSoon,
 	}
-	e.Upstream.Heard = func(b backend.Backend, sent time.Time, h http.Header, served bool) {
-		e.limits.Answered(b, sent, e.Limit(h), served)
+	e.Upstream.OnResponse = func(b backend.Backend, sent time.Time, h http.Header, served bool) {
+		e.limits.Observe(b, sent, e.LimitValues(h), served)
 	}
-	e.Upstream.Repeated = e.limits.Spend
+	e.Upstream.OnTransportRetry = e.limits.RecordSent
 }
 
 // coldRate returns how many requests a second a cold backend server of a service can
@@ -101,9 +101,9 @@
 }
 
 func newHedge() *hedge.Hedge {
-	return &hedge.Hedge{Initial: hedgeInitial, Least: hedgeMin, Most: hedgeMax}
+	return &hedge.Hedge{Initial: hedgeInitial, Min: hedgeMin, Max: hedgeMax}
 }
 
 func newResponseRelay(c clockwork.Clock) *whole.Whole {
-	return &whole.Whole{Clock: c, Limit: responseBufferBytes, Patience: callerReadTimeout, Unframed: true}
+	return &whole.Whole{Clock: c, BufferLimit: responseBufferBytes, WriteTimeout: callerReadTimeout, AllowUndelimited: true}
 }
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -180,7 +180,7 @@
 func (w *deployment) upstream(host, region string) *upstream.Upstream {
 	u := upstream.New(clock, time.Second)
 	u.Dial = func(ctx context.Context, a string) (net.Conn, error) { return w.network.dial(ctx, region, a) }
-	u.Dress = func(h http.Header, r *request.Request, _ backend.Backend, _ time.Duration) {
+	u.SetHeaders = func(h http.Header, r *request.Request, _ backend.Backend, _ time.Duration) {
 		h.Set(upstream.IDHeader, r.ID)
 		h.Set(hostHeader, host)
 	}
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -22,13 +22,13 @@
 // publishMetrics publishes the gauges of the store's age, the limits of backend
 // servers, unreceived changes and permits.
 func (e *Edge) publishMetrics() {
-	metric.Metric{Name: gaugeConfigStoreAge}.Follow(storeAgeSeconds(e.Config))
-	metric.Metric{Name: gaugeBackendsStoreAge}.Follow(storeAgeSeconds(e.Backends))
-	metric.Metric{Name: gaugeLimited}.Follow(func() any { return e.limits.Limited() })
-	metric.Metric{Name: gaugeIgnored}.Follow(func() any { return e.limits.Ignored() })
-	metric.Metric{Name: gaugeChangesUnheard}.Follow(func() any { return e.silence.Unheard() })
-	metric.Metric{Name: gaugeGranted}.Follow(func() any { return e.permits.Granted() })
-	metric.Metric{Name: gaugeDenied}.Follow(func() any { return e.permits.Denied() })
+	metric.Metric{Name: gaugeConfigStoreAge}.SetFunc(storeAgeSeconds(e.Config))
+	metric.Metric{Name: gaugeBackendsStoreAge}.SetFunc(storeAgeSeconds(e.Backends))
+	metric.Metric{Name: gaugeLimited}.SetFunc(func() any { return e.limits.Limited() })
+	metric.Metric{Name: gaugeIgnored}.SetFunc(func() any { return e.limits.Ignored() })
+	metric.Metric{Name: gaugeChangesUnheard}.SetFunc(func() any { return e.silence.ChangesMissing() })
+	metric.Metric{Name: gaugeGranted}.SetFunc(func() any { return e.permits.Granted() })
+	metric.Metric{Name: gaugeDenied}.SetFunc(func() any { return e.permits.Denied() })
 }
 
 // storeAgeSeconds returns a function that returns the age of the store's last response
@@ -46,6 +46,6 @@
 // storeAge returns the time since the store last responded, for this table, to this
 // host or to a host that reports to it. ok is false if it never did.
 func storeAge(m *mirror.Mirror) (d time.Duration, ok bool) {
-	a := m.Store.Age()
+	a := m.StoreFreshness.Age()
 	return time.Duration(a), a > 0
 }
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -30,7 +30,7 @@
 
 // Named returns the caller addresses of the available hosts in a region or, if there
 // are none, of the available hosts in all regions.
-func (e *Edge) Named(region string) []string {
+func (e *Edge) CallerAddresses(region string) []string {
 	var near, all []string
 	for _, m := range append(e.membership.Alive(), e.self()) {
 		if m.Leaving || m.Starting {
@@ -60,26 +60,26 @@
 			e.Log.Info("configuration in force", "Version", c.Version, "Routes", len(c.Routes), "Accounts", len(c.Accounts))
 		}
 	}
-	e.discovery.Evacuated(z)
+	e.discovery.SetEvacuated(z)
 }
 
 func (e *Edge) composeHeartbeat(h *wire.Heartbeat) {
 	h.Versions = e.copier.Versions()
-	h.BackendLimits = e.limits.Tell()
+	h.BackendLimits = e.limits.Observations()
 }
 
 func (e *Edge) receiveHeartbeat(h *wire.Heartbeat, _ time.Time) {
-	e.limits.Hear(h.GetFrom().GetName(), h.GetBackendLimits())
+	e.limits.Merge(h.GetFrom().GetName(), h.GetBackendLimits())
 	if a := h.GetFrom().GetPeerAddress(); a != "" {
 		// A host that has received the names of the other hosts from one of them can
 		// compute its share of the limits.
 		e.hostsKnown.Store(e.hostsKnown.Load() || len(h.GetKnown()) > 0)
-		e.copier.Heard(a, h.GetVersions())
+		e.copier.HandleVersions(a, h.GetVersions())
 	}
 }
 
 func (e *Edge) giveTokens(b *wire.BorrowRequest) *wire.BorrowResponse {
-	n := e.tokens.Give(b.GetBorrower(), b.GetLimit(), int64(b.GetUnits()), int64(b.GetUrgent()))
+	n := e.tokens.LendTo(b.GetBorrower(), b.GetLimit(), int64(b.GetUnits()), int64(b.GetUrgent()))
 	return &wire.BorrowResponse{Units: uint64(n), Lender: e.Self.Name}
 }
 
@@ -153,7 +153,7 @@
 		}
 		x, f := context.WithTimeout(ctx, announceTimeout)
 		defer f()
-		l, err := e.Listed(x)
+		l, err := e.ReadHosts(x)
 		if err != nil {
 			e.Log.Warn("reading the list of hosts failed", "Error", err)
 			return nil, err
--- a/edge/permits.go
+++ b/edge/permits.go
@@ -30,22 +30,22 @@
 func (e *Edge) setUpPermits() {
 	e.silence = &silence.Silence{
 		Clock: e.Clock, Log: e.Log, Age: func() (time.Duration, bool) { return storeAge(e.Config) },
-		After: max(e.Evacuate-coldRateLead, e.Contact-recheckMargin+urgentHeartbeatDelay), Long: e.Evacuate, Settle: coldEntryDelay,
-		Entries: func() (time.Duration, bool) { return storeAge(e.Backends) }, News: urgentHeartbeatDelay,
+		MaxAge: max(e.EvacuationTime-coldRateLead, e.RecoveryTime-recheckMargin+urgentHeartbeatDelay), LongSilence: e.EvacuationTime, Settle: coldEntryDelay,
+		EntriesAge: func() (time.Duration, bool) { return storeAge(e.Backends) }, EntriesDelay: urgentHeartbeatDelay,
 	}
 	e.permitClient = &peerclient.Peerclient{Dial: e.client.Dial}
 	e.permits = &permits.Permits{
-		Clock: e.Clock, Log: e.Log, Self: e.Self, Begun: e.Clock.Now(), Hosts: e.knownHosts,
-		Slots: func(s string) map[string]int { return e.placement.Slots(s) }, Far: remoteWeight,
+		Clock: e.Clock, Log: e.Log, Self: e.Self, Started: e.Clock.Now(), Hosts: e.knownHosts,
+		Slots: func(s string) map[string]int { return e.placement.Slots(s) }, RemoteWeight: remoteWeight,
 		Rate:    func(s string) float64 { r, _ := e.coldRate(s); return r },
-		Overage: e.ColdOverage, Slack: e.ColdSlack, Ask: e.permitClient.Permit,
+		Overage: e.ColdOverage, Slack: e.ColdSlack, Request: e.permitClient.Permit,
 	}
 }
 
 // permit requests a permit to send a request to b if backend servers may be cold
 // without this host knowing.
 func (e *Edge) permit(ctx context.Context, b backend.Backend) (again time.Duration, ok bool) {
-	if r, _ := e.coldRate(b.Service); r == 0 || !e.silence.Unheard() {
+	if r, _ := e.coldRate(b.Service); r == 0 || !e.silence.ChangesMissing() {
 		return 0, true
 	}
 	return e.permits.Get(ctx, b)
--- a/edge/store.go
+++ b/edge/store.go
@@ -33,10 +33,10 @@
 // hosts at once. When no host has received a response for too long, all hosts call the
 // store again.
 func (e *Edge) watchStore() {
-	t := e.Contact - recheckMargin
+	t := e.RecoveryTime - recheckMargin
 	for _, m := range []*mirror.Mirror{e.Config, e.Backends} {
-		m.Store = &freshness.Freshness{Clock: e.Clock}
-		m.Trust, m.Reply = t, e.Contact/replyTimeoutDivisor
+		m.StoreFreshness = &freshness.Freshness{Clock: e.Clock}
+		m.StoreTimeout, m.ReplyTimeout = t, e.RecoveryTime/replyTimeoutDivisor
 		e.pollWhileWatcher(m, t-urgentHeartbeatDelay)
 	}
 }
@@ -46,18 +46,18 @@
 // subtracted, because a call may start later than the response before it: the copy
 // pauses after a change.
 func (e *Edge) pollWhileWatcher(m *mirror.Mirror, interval time.Duration) {
-	w, f := m.Wait, m.Feed
-	m.Wait = func() time.Duration {
+	w, f := m.LongPollTimeout, m.Feed
+	m.LongPollTimeout = func() time.Duration {
 		if !e.isWatcher(m.Name) {
 			return w()
 		}
-		return min(max(interval-time.Duration(m.Store.Own()), minWatchInterval), w())
+		return min(max(interval-time.Duration(m.StoreFreshness.OwnAge()), minWatchInterval), w())
 	}
 	m.Feed = func(ctx context.Context, after uint64, d time.Duration) ([]row.Row, uint64, error) {
 		r, v, err := f(ctx, after, d)
 		if err == nil && e.isWatcher(m.Name) {
-			m.Store.Seen()
-			e.membership.Hurry()
+			m.StoreFreshness.RecordContact()
+			e.membership.SendSoon()
 		}
 		return r, v, err
 	}
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -117,7 +117,7 @@
 	for _, m := range []string{"own", "ticket"} {
 		b.Run(m, func(b *testing.B) {
 			s := newTestHost(b, 1)
-			s.group.Gap = 25 * time.Millisecond
+			s.group.MinInterval = 25 * time.Millisecond
 			const callers = 64
 			d := make(chan int, callers)
 			t := s.clock.Now()
@@ -127,7 +127,7 @@
 					for i := range b.N / callers {
 						id := fmt.Sprintf("%d-%d-%d", b.N, c, i)
 						if m == "ticket" {
-							id = s.tickets.Mint("camp", 1)[0]
+							id = s.tickets.Issue("camp", 1)[0]
 						}
 						q, err := s.request(b.Context(), []string{"POST", "/e", "X-Api-Key: camp-key-1", "Idempotency-Key: " + id, "=x"})
 						if err != nil {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -126,7 +126,7 @@
 		return r, refuse(outcome.BadRequest, f)
 	}
 	r.Credential = c
-	v, ok := e.Snapshot().Service(h.URL.Path)
+	v, ok := e.Snapshot().ServiceByPath(h.URL.Path)
 	if !ok {
 		return r, refuse(outcome.NoRoute, "no service has this path")
 	}
@@ -140,11 +140,11 @@
 	}
 	r.Deadline = e.Clock.Now().Add(d)
 	r.Header = backendHeader(h)
-	r.Touched = new(atomic.Bool)
+	r.BodyReadStarted = new(atomic.Bool)
 	r.Length = h.ContentLength
 	r.NonIdempotent = v.NonIdempotent || h.Method == http.MethodPost || h.Method == http.MethodPatch
 	r.IdempotencyID = h.Header.Get(IdempotencyHeader)
-	if !e.Admission.Trusts(r.NonIdempotent) {
+	if !e.Admission.MayUseKeys(r.NonIdempotent) {
 		return r, refuse(outcome.KeyStale, "this failure domain is disconnected and cannot verify whether the key was withdrawn")
 	}
 	return r, b.attach(r)
@@ -191,7 +191,7 @@
 	l := o.RetryAfter
 	o = e.Forward(x, r, w)
 	if o.Ran == outcome.RanNo {
-		r.Gate.Return()
+		r.Gate.Unsend()
 	}
 	if o.Outcome == outcome.NoCapacity && l > 0 && (l < o.RetryAfter || o.RetryAfter == 0) {
 		// The local domain will have a free slot before the others do.
@@ -207,7 +207,7 @@
 		r.Body = r.Rewind()
 		return true
 	}
-	return r.Body == nil || !r.Touched.Load()
+	return r.Body == nil || !r.BodyReadStarted.Load()
 }
 
 // backendHeader returns the fields of the caller's header that may be sent to
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -103,7 +103,7 @@
 		Read:   platformRead(&s.store, &s.storeDown),
 		Commit: platformCommit(&s.store, &s.storeDown),
 	}
-	s.group = &group.Group{Clock: s.clock, Commit: p.Commit, Limit: 64, Timeout: time.Second}
+	s.group = &group.Group{Clock: s.clock, Commit: p.Commit, MaxRows: 64, Timeout: time.Second}
 	i := &idempotency.Idempotency{
 		Clock: s.clock, Platform: p, Host: "a", Incarnation: 1, Timeout: time.Second, Group: s.group,
 		Alive: func(string, uint64) bool { return false },
@@ -115,19 +115,19 @@
 		Clock: s.clock, Queue: func(string) *queue.Queue { return q }, Valid: a.Valid, Upstream: upstream.New(s.clock, time.Second),
 		Confirm: func(*request.Request) bool { return true },
 		Timeout: func() time.Duration { return v.Preset.MaxWait }, Budget: &budget.Budget{Ratio: func() float64 { return 1 }},
-		Hedge: &hedge.Hedge{Initial: 50 * time.Millisecond, Least: 50 * time.Millisecond, Most: 50 * time.Millisecond},
-		Whole: &whole.Whole{Clock: s.clock, Limit: 1000, Patience: 500 * time.Millisecond},
+		Hedge: &hedge.Hedge{Initial: 50 * time.Millisecond, Min: 50 * time.Millisecond, Max: 50 * time.Millisecond},
+		Whole: &whole.Whole{Clock: s.clock, BufferLimit: 1000, WriteTimeout: 500 * time.Millisecond},
 	}
 	s.stop = append(s.stop, d.Upstream.Close)
 	s.tickets = &ticket.Ticket{
-		Clock: s.clock, Host: "a", Incarnation: 1, Lifetime: time.Hour, Bytes: 1 << 20, Limit: 100_000,
-		Find: func(h string, _ uint64) (string, bool) { return "10.0.0.2:80", h == "b" },
+		Clock: s.clock, Host: "a", Incarnation: 1, Lifetime: time.Hour, MaxAnswerBytes: 1 << 20, MaxUsed: 100_000,
+		HostAddress: func(h string, _ uint64) (string, bool) { return "10.0.0.2:80", h == "b" },
 	}
 	o := &once.Once{Begin: i.Begin, End: i.End, Tickets: s.tickets}
 	return &entry.Entry{
 		Clock: s.clock, Log: log.New(io.Discard), Snapshot: n, Admission: a, Once: o.Serve, Local: d.Serve,
 		Quota: &quota.Quota{Clock: s.clock, Account: v.Account, Hold: time.Hour, Grant: func(string) grant.Grant {
-			return grant.Grant{Floor: 1, FloorUntil: s.clock.Now().Add(time.Hour), Unused: true}
+			return grant.Grant{Floor: 1, FloorUntil: s.clock.Now().Add(time.Hour), FirstUse: true}
 		}},
 		Forward: func(context.Context, *request.Request, http.ResponseWriter) outcome.Outcome {
 			return outcome.Outcome{Outcome: outcome.NoCapacity, Ran: outcome.RanNo}
@@ -203,11 +203,11 @@
 	var k backendknobs.Backendknobs
 	t.Check(codec.Unmarshal([]byte(a[1]), &k))
 	if h := s.handlers[a[0]]; h != nil {
-		h.Set(k)
+		h.SetFaults(k)
 		return
 	}
-	h := &backendstandin.Backendstandin{Clock: s.clock, Name: a[0], Slots: 10, Work: 20 * time.Millisecond}
-	h.Set(k)
+	h := &backendstandin.Backendstandin{Clock: s.clock, Name: a[0], Slots: 10, RequestDuration: 20 * time.Millisecond}
+	h.SetFaults(k)
 	b, err := s.serve(h)
 	t.Check(err)
 	s.handlers[a[0]] = h
@@ -280,7 +280,7 @@
 func (s *testHost) total() int {
 	n := 0
 	for _, h := range s.handlers {
-		for _, v := range h.Runs() {
+		for _, v := range h.RunCounts() {
 			n += v
 		}
 	}
@@ -310,7 +310,7 @@
 func runs(t *testscript.TestScript, _ bool, a []string) {
 	n := 0
 	for _, h := range t.Value("site").(*testHost).handlers {
-		n += h.Runs()[a[0]]
+		n += h.RunCounts()[a[0]]
 	}
 	if got := string(rune('0' + n)); got != a[1] {
 		t.Fatalf("%s ran %s times, not %s", a[0], got, a[1])
@@ -320,7 +320,7 @@
 func seen(t *testscript.TestScript, neg bool, a []string) {
 	f := false
 	for _, h := range t.Value("site").(*testHost).handlers {
-		f = f || strings.Contains(strings.Join(h.Seen(), "\n"), a[0])
+		f = f || strings.Contains(strings.Join(h.ReceivedValues(), "\n"), a[0])
 	}
 	if f == neg {
 		t.Fatalf("seen %q: %t", a[0], f)
--- a/entry/platform_test.go
+++ b/entry/platform_test.go
@@ -47,7 +47,7 @@
 }
 
 func mintTicket(t *testscript.TestScript, _ bool, a []string) {
-	t.Setenv(a[0], t.Value("site").(*testHost).tickets.Mint(a[1], 1)[0])
+	t.Setenv(a[0], t.Value("site").(*testHost).tickets.Issue(a[1], 1)[0])
 }
 
 func enrol(t *testscript.TestScript, _ bool, a []string) {
@@ -58,7 +58,7 @@
 	for i := range n {
 		id := fmt.Sprintf("own-%d-%d", s.clock.Now().UnixNano(), i)
 		if a[1] == "ticket" {
-			id = s.tickets.Mint("camp", 1)[0]
+			id = s.tickets.Issue("camp", 1)[0]
 		}
 		q, err := s.request(context.Background(), []string{"POST", "/enrolments/1", "X-Api-Key: camp-key-1", "Idempotency-Key: " + id, "=child=1"})
 		t.Check(err)
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -22,7 +22,7 @@
 	Short bool
 	// Ways and Scenarios select the division methods and scenarios to run by
 	// name; empty means all.
-	Ways      []string
+	Methods   []string
 	Scenarios []string
 	// Holders are the numbers of hosts for which the control traffic is
 	// measured.
@@ -36,7 +36,7 @@
 	for _, d := range deployments {
 		for _, s := range scenarios {
 			for _, v := range divisionMethods {
-				if !selected(e.Scenarios, s.name) || !selected(e.Ways, v.name) {
+				if !selected(e.Scenarios, s.name) || !selected(e.Methods, v.name) {
 					continue
 				}
 				r := e.run(d, s, v)
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -19,7 +19,7 @@
 func TestTargets(t *testing.T) {
 	var b bytes.Buffer
 	e := &experiment.Experiment{
-		Out: &b, Seed: 1, Short: true, Ways: []string{"divisions"}, Scenarios: []string{"ordinary", "one-at-5x", "host-lost", "store-out-10m"},
+		Out: &b, Seed: 1, Short: true, Methods: []string{"divisions"}, Scenarios: []string{"ordinary", "one-at-5x", "host-lost", "store-out-10m"},
 	}
 	must.NoError(t, e.Run())
 	rows := table(b.String())
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -51,7 +51,7 @@
 	p := &trial{deployment: d, method: w, random: random(seed, 1)}
 	p.config = newConfig(d)
 	p.simulation = &simulation.Simulation{
-		Hold: 3 * time.Second, StoreHold: time.Hour, Heartbeat: d.heartbeat, Poll: time.Second, Least: 5 * time.Second,
+		Hold: 3 * time.Second, StoreHold: time.Hour, Heartbeat: d.heartbeat, Poll: time.Second, MinEpochInterval: 5 * time.Second,
 		Config: p.config, Table: new(table.Table), Random: random(seed, 2), Delay: p.delay, Store: p.store,
 	}
 	p.baseline = &baseline{trial: p}
--- a/experiment/way.go
+++ b/experiment/way.go
@@ -92,7 +92,7 @@
 		l = &lease{parts: make(map[string]float64), since: make(map[string]time.Time)}
 		f.leases[host] = l
 	}
-	f.trial.simulation.Quota(host).Sync()
+	f.trial.simulation.Quota(host).RefillAll()
 	l.renewedAt = now
 	for i, a := range f.trial.config.Accounts {
 		s, w := 0.0, 0.0
--- a/expiry/expiry.go
+++ b/expiry/expiry.go
@@ -45,7 +45,7 @@
 	Retention time.Duration
 	// Sweeps reports whether this host is the one that sweeps. Two sweepers at
 	// a time only cost additional reads.
-	Sweeps func() bool
+	IsSweeper func() bool
 
 	nextBucket time.Time
 }
@@ -59,7 +59,7 @@
 // Run sweeps until ctx ends.
 func (e *Expiry) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if e.Sweeps() {
+		if e.IsSweeper() {
 			e.sweep(ctx)
 		}
 		select {
--- a/failover/failover.go
+++ b/failover/failover.go
@@ -27,7 +27,7 @@
 	Share func(service, region string) float64
 	// Room returns the fraction of a service's callers that the regions
 	// that are alive can take without exceeding their limits.
-	Room func(service string) float64
+	FreeCapacity func(service string) float64
 
 	mu       sync.Mutex
 	states   map[regionKey]*regionState
@@ -46,14 +46,14 @@
 
 // Planned records that a plan has just moved callers. The next step is delayed
 // by an interval, since both together could exceed the cap.
-func (f *Failover) Planned() {
+func (f *Failover) RecordPlan() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lastPlan = f.Clock.Now()
 }
 
 // Quiet reports whether no step was taken within the last d.
-func (f *Failover) Quiet(d time.Duration) bool {
+func (f *Failover) IdleFor(d time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.states {
@@ -66,7 +66,7 @@
 
 // Moved returns how many points of a region's callers are steered to other
 // regions.
-func (f *Failover) Moved(service, region string) int {
+func (f *Failover) MovedPoints(service, region string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.states[regionKey{service: service, region: region}]; s != nil {
@@ -83,7 +83,7 @@
 	defer f.mu.Unlock()
 	s := f.stateOf(service, region)
 	if points > s.movedPoints {
-		s.movedPoints = min(points, route.Points)
+		s.movedPoints = min(points, route.TotalPoints)
 		s.lastStep = f.Clock.Now()
 	}
 }
@@ -102,7 +102,7 @@
 // Tick takes a step if one is due. Steps lead out of a region while it is lost,
 // and back when it is alive again: its caches are cold then.
 func (f *Failover) Tick(service, region string, alive bool) {
-	h, m := f.Share(service, region), f.Room(service)
+	h, m := f.Share(service, region), f.FreeCapacity(service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if alive && f.states[regionKey{service: service, region: region}] == nil {
@@ -115,8 +115,8 @@
 	if !alive {
 		c = min(c, m)
 	}
-	k := int(c / max(h, c, 1e-9) * route.Points)
-	if alive && s.movedPoints > 0 || !alive && s.movedPoints < route.Points && k > 0 {
+	k := int(c / max(h, c, 1e-9) * route.TotalPoints)
+	if alive && s.movedPoints > 0 || !alive && s.movedPoints < route.TotalPoints && k > 0 {
 		s.lastPending = n
 	}
 	i := p.ShiftInterval
@@ -136,7 +136,7 @@
 	if alive {
 		k = -k
 	}
-	s.movedPoints = min(route.Points, max(0, s.movedPoints+k))
+	s.movedPoints = min(route.TotalPoints, max(0, s.movedPoints+k))
 	if s.movedPoints != o {
 		s.lastStep = now
 	}
--- a/failover/failover_test.go
+++ b/failover/failover_test.go
@@ -30,19 +30,19 @@
 		m := 1.0
 		f := &failover.Failover{
 			Clock: c, Preset: func() preset.Preset { return preset.Preset{ShiftCap: shiftCap, ShiftInterval: interval} },
-			Share: func(string, string) float64 { return h }, Room: func(string) float64 { return m },
+			Share: func(string, string) float64 { return h }, FreeCapacity: func(string) float64 { return m },
 		}
 		var p []float64
 		for range rapid.IntRange(1, 150).Draw(t, "ticks") {
 			a := rapid.IntRange(0, 9).Draw(t, "alive") == 0
 			m = rapid.SampledFrom([]float64{0, 0.02, 1}).Draw(t, "room")
-			b := f.Moved("Listings", "lagos")
+			b := f.MovedPoints("Listings", "lagos")
 			f.Tick("Listings", "lagos", a)
-			n := f.Moved("Listings", "lagos")
+			n := f.MovedPoints("Listings", "lagos")
 			if m == 0 {
 				must.LessEq(t, b, n)
 			}
-			p = append(p, h*float64(n)/route.Points)
+			p = append(p, h*float64(n)/route.TotalPoints)
 			for i := max(0, len(p)-int(interval/tick)); i < len(p); i++ {
 				must.Between(t, p[len(p)-1]-shiftCap-1e-5, p[i], p[len(p)-1]+shiftCap+1e-5)
 			}
@@ -58,15 +58,15 @@
 	c := clockwork.NewFakeClock()
 	f := &failover.Failover{
 		Clock: c, Preset: func() preset.Preset { return preset.Preset{ShiftCap: shiftCap, ShiftInterval: interval} },
-		Share: func(string, string) float64 { return 1.0 / 3 }, Room: func(string) float64 { return 1 },
+		Share: func(string, string) float64 { return 1.0 / 3 }, FreeCapacity: func(string) float64 { return 1 },
 	}
-	f.Planned()
+	f.RecordPlan()
 	var r []int
 	for i := range 16 {
 		f.Tick("Listings", "lagos", i >= 8)
-		r = append(r, f.Moved("Listings", "lagos")*10/route.Points)
+		r = append(r, f.MovedPoints("Listings", "lagos")*10/route.TotalPoints)
 		c.Advance(interval)
 	}
 	must.Eq(t, []int{0, 3, 6, 9, 10, 10, 10, 10, 7, 4, 1, 0, 0, 0, 0, 0}, r)
-	must.True(t, f.Quiet(interval))
+	must.True(t, f.IdleFor(interval))
 }
--- a/feedstandin/feedstandin.go
+++ b/feedstandin/feedstandin.go
@@ -43,7 +43,7 @@
 }
 
 // Slow delays each answer by d.
-func (s *Feedstandin) Slow(d time.Duration) {
+func (s *Feedstandin) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answerDelay = d
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -24,7 +24,7 @@
 )
 
 // PlatformPlace is the label of the platform in calls of Cut and Heal.
-const PlatformPlace = "platform"
+const PlatformLabel = "platform"
 
 const (
 	platformTimeout = 2 * time.Second
@@ -55,11 +55,11 @@
 	// Slots is how many requests a backend server runs concurrently.
 	Slots int
 	// Work is how long a request takes on a warm backend server.
-	Work time.Duration
+	RequestDuration time.Duration
 	// Cold is how long a backend server stays cold after its first request.
-	Cold time.Duration
+	ColdFor time.Duration
 	// Adjust changes the settings of a host before it starts. It may be nil.
-	Adjust func(s *settings.Settings)
+	AdjustSettings func(s *settings.Settings)
 
 	// Roots are the certificate authorities that Status and Send trust if
 	// Adjust configures TLS on the hosts.
@@ -72,7 +72,7 @@
 	// Keys holds one key for each client account, by account name.
 	Keys map[string]string
 	// Operator is an operator's key.
-	Operator string
+	OperatorKey string
 
 	network       network
 	platform      *platformclient.Platformclient
@@ -171,7 +171,7 @@
 // host, a failure domain, a region or the platform, or "*" for everything. Open
 // connections between them are blackholed permanently, and new ones time out
 // until Heal is called.
-func (f *Fleet) Cut(a, b string) {
+func (f *Fleet) Partition(a, b string) {
 	f.network.partition(a, b)
 }
 
@@ -183,10 +183,10 @@
 
 // Runs returns how often each request id was run, summed over all backend
 // servers.
-func (f *Fleet) Runs() map[string]int {
+func (f *Fleet) RunCounts() map[string]int {
 	r := make(map[string]int)
 	for _, b := range f.backends {
-		for k, v := range b.handler.Runs() {
+		for k, v := range b.handler.RunCounts() {
 			r[k] += v
 		}
 	}
@@ -206,7 +206,7 @@
 
 // commitConfig writes the configuration to the platform as its first version.
 func (f *Fleet) commitConfig(ctx context.Context) error {
-	c := &change.Change{Platform: f.platform.Platform()}
+	c := &change.Change{Platform: f.platform.Store()}
 	_, ok, err := c.Commit(ctx, 0, f.Config)
 	if err != nil {
 		return err
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -69,7 +69,7 @@
 func TestPartitionAndHeal(t *testing.T) {
 	ctx, f := newFleet(t)
 	must.NoError(t, f.Await(ctx, "an answer", requestSucceeds(ctx, f, "n1-a")))
-	f.Cut("n1", "s1")
+	f.Partition("n1", "s1")
 	must.NoError(t, f.Await(ctx, "the host to drop its peer", func() bool {
 		s, err := f.Status(ctx, "n1-a")
 		return err == nil && len(s.Peers) == 0
@@ -107,7 +107,7 @@
 	own.AuthorityFile = ""
 	ctx, f := newFleet(t, func(f *fleet.Fleet) {
 		f.Roots = a.Pool()
-		f.Adjust = func(s *settings.Settings) {
+		f.AdjustSettings = func(s *settings.Settings) {
 			s.CallerTLS, s.OperatorTLS, s.PeerTLS = &own, &own, &c
 		}
 	})
@@ -123,7 +123,7 @@
 			return new(net.Dialer).DialContext(ctx, "tcp", address)
 		},
 		func(ctx context.Context, address string) (net.Conn, error) {
-			g := forged.Client("127.0.0.1")
+			g := forged.ClientConfig("127.0.0.1")
 			g.RootCAs = a.Pool()
 			return (&tls.Dialer{Config: g}).DialContext(ctx, "tcp", address)
 		},
--- a/fleet/hosts.go
+++ b/fleet/hosts.go
@@ -41,7 +41,7 @@
 }
 
 // Totals returns the number of requests of a host by outcome.
-func (f *Fleet) Totals(name string) map[string]uint64 {
+func (f *Fleet) OutcomeCounts(name string) map[string]uint64 {
 	return f.hostByName(name).counter.Totals()
 }
 
@@ -94,7 +94,7 @@
 	if err != nil {
 		return s, err
 	}
-	q.Header.Set("Authorization", "Bearer "+f.Operator)
+	q.Header.Set("Authorization", "Bearer "+f.OperatorKey)
 	c, b, err := f.do(q)
 	if err != nil {
 		return s, err
--- a/fleet/parts.go
+++ b/fleet/parts.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return errors.Wrap(err, "platform stand-in")
 	}
-	f.network.setLabels(l.Addr().String(), []string{PlatformPlace})
+	f.network.setLabels(l.Addr().String(), []string{PlatformLabel})
 	f.Platform = &standin.Standin{Clock: f.Clock, Table: new(table.Table)}
 	f.PlatformURL = "http://" + l.Addr().String()
 	f.platform = &platformclient.Platformclient{URL: f.PlatformURL, Timeout: platformTimeout}
@@ -92,7 +92,7 @@
 					Address: l.Addr().String(), Slots: f.Slots, Connections: connectionsPerBackend,
 				}
 				f.Config.Backends = append(f.Config.Backends, b)
-				h := &backendstandin.Backendstandin{Clock: f.Clock, Name: b.Name, Slots: b.Slots, Work: f.Work, ColdFor: f.Cold}
+				h := &backendstandin.Backendstandin{Clock: f.Clock, Name: b.Name, Slots: b.Slots, RequestDuration: f.RequestDuration, ColdFor: f.ColdFor}
 				f.backends = append(f.backends, &backendServer{handler: h, task: f.serve(l, h)})
 			}
 		}
@@ -113,8 +113,8 @@
 // configuration.
 func (f *Fleet) addCredentials() {
 	f.Keys = make(map[string]string)
-	f.Operator = rand.Text()
-	f.Config.Operators = append(f.Config.Operators, credential.Credential{ID: "fleet-operator", Hash: credential.Hash(f.Operator)})
+	f.OperatorKey = rand.Text()
+	f.Config.Operators = append(f.Config.Operators, credential.Credential{ID: "fleet-operator", Hash: credential.Hash(f.OperatorKey)})
 	for _, a := range f.Config.Accounts {
 		k := rand.Text()
 		f.Keys[a.Name] = k
@@ -147,8 +147,8 @@
 		}
 		h.listeners[*a] = &listener{Listener: l}
 	}
-	if f.Adjust != nil {
-		f.Adjust(&s)
+	if f.AdjustSettings != nil {
+		f.AdjustSettings(&s)
 	}
 	h.settings = s
 	f.network.setLabels(s.PeerAddress, h.labels())
@@ -160,7 +160,7 @@
 	d := f.network.dialer(h.labels(), f.Clock)
 	p := &platformclient.Platformclient{URL: f.PlatformURL, Timeout: platformTimeout, Dial: d}
 	x := &host.Host{
-		Settings: h.settings, Platform: p.Platform(), Clock: f.Clock, Log: f.Log.With("On", h.settings.Name),
+		Settings: h.settings, Platform: p.Store(), Clock: f.Clock, Log: f.Log.With("On", h.settings.Name),
 		Incarnation: mathrand.Uint64(), Dial: d, Listen: h.listen, Counter: h.counter,
 	}
 	h.running = true
--- a/fleetscript/begin.go
+++ b/fleetscript/begin.go
@@ -25,7 +25,7 @@
 		ts.Fatalf("usage: fleet [-hosts N] [-backends N] [-slots N] [-unconfigured] FILE (once per script)")
 	}
 	f := &fleet.Fleet{
-		Clock: s.clock, HostsPerDomain: 1, BackendsPerService: 1, Slots: defaultSlots, Work: requestDuration,
+		Clock: s.clock, HostsPerDomain: 1, BackendsPerService: 1, Slots: defaultSlots, RequestDuration: requestDuration,
 		Log: log.NewWithOptions(&s.log, log.Options{Level: log.DebugLevel, Formatter: log.LogfmtFormatter}),
 	}
 	f.Config = readConfig(ts, parseOptions(ts, f, args))
@@ -37,7 +37,7 @@
 	ts.Check(f.Start(s.context))
 	h := f.Settings(f.Hosts()[0])
 	ts.Setenv("CELERYREACH_OPERATOR", "http://"+h.OperatorAddress)
-	ts.Setenv("CELERYREACH_OPERATOR_KEY", f.Operator)
+	ts.Setenv("CELERYREACH_OPERATOR_KEY", f.OperatorKey)
 	ts.Setenv("CELERYREACH_LOOKUP", "http://"+h.CallerAddress)
 	ts.Setenv("PLATFORM", f.PlatformURL)
 }
@@ -81,7 +81,7 @@
 // checkNoKeyLeaked fails the script if a key appears in a log line or a metric,
 // because both are copied to places that many people can read.
 func (s *script) checkNoKeyLeaked(ts *testscript.TestScript) {
-	k := append([]string{s.fleet.Operator}, s.issuedKeys...)
+	k := append([]string{s.fleet.OperatorKey}, s.issuedKeys...)
 	for _, v := range s.fleet.Keys {
 		k = append(k, v)
 	}
--- a/fleetscript/faults.go
+++ b/fleetscript/faults.go
@@ -20,7 +20,7 @@
 
 func cut(ts *testscript.TestScript, neg bool, args []string) {
 	a := exactArgs(ts, neg, args, 2)
-	runningFleet(ts).Cut(a[0], a[1])
+	runningFleet(ts).Partition(a[0], a[1])
 }
 
 func heal(ts *testscript.TestScript, neg bool, args []string) {
@@ -48,7 +48,7 @@
 func setPlatformFaults(ts *testscript.TestScript, neg bool, args []string) {
 	var k knobs.Knobs
 	ts.Check(codec.Unmarshal([]byte(exactArgs(ts, neg, args, 1)[0]), &k))
-	runningFleet(ts).Platform.Set(k)
+	runningFleet(ts).Platform.SetFaults(k)
 }
 
 func replaceInFile(ts *testscript.TestScript, neg bool, args []string) {
@@ -62,7 +62,7 @@
 func checkMaxRuns(ts *testscript.TestScript, neg bool, args []string) {
 	n, err := strconv.Atoi(exactArgs(ts, neg, args, 1)[0])
 	ts.Check(err)
-	for k, v := range runningFleet(ts).Runs() {
+	for k, v := range runningFleet(ts).RunCounts() {
 		if v > n {
 			ts.Fatalf("request %s ran %d times", k, v)
 		}
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -56,8 +56,8 @@
 func (f *Follower) Replica() *replica.Replica {
 	f.once.Do(func() {
 		f.replica = &replica.Replica{
-			Kind: Kind, Key: accepted.RowKey, Log: f.Log, Platform: f.Platform, Apply: f.apply, Changed: f.Changed,
-			Clock: f.Clock, Every: f.Poll, Polled: f.Polled,
+			Kind: Kind, Key: accepted.ConfigKey, Log: f.Log, Platform: f.Platform, Apply: f.apply, Changed: f.Changed,
+			Clock: f.Clock, PollInterval: f.Poll, Polled: f.Polled,
 		}
 	})
 	return f.replica
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -164,7 +164,7 @@
 		if err != nil {
 			return a.endLost(ctx, err)
 		}
-		a.pulse.Got()
+		a.pulse.Received()
 		a.gotFrame = true
 		switch v := m.Part.(type) {
 		case *wire.Frame_BodyWanted:
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -24,7 +24,7 @@
 }
 
 // Seen records a contact of this host itself.
-func (f *Freshness) Seen() {
+func (f *Freshness) RecordContact() {
 	n := f.Clock.Now()
 	f.mu.Lock()
 	f.lastDirect = n
@@ -36,7 +36,7 @@
 // message was sent, so the recorded contact is too recent by one delivery time. A host
 // must not pass on an age that it received: it would lose a delivery time at each hop and
 // never grow old when passed around in a circle.
-func (f *Freshness) Heard(age int64) {
+func (f *Freshness) RecordRemoteAge(age int64) {
 	if age > 0 {
 		f.update(f.Clock.Now().Add(-time.Duration(age)))
 	}
@@ -52,7 +52,7 @@
 
 // Own returns the time since the last contact of this host itself, in the form of Age.
 // This is the age to send to other hosts.
-func (f *Freshness) Own() int64 {
+func (f *Freshness) OwnAge() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ageOf(f.lastDirect)
@@ -60,7 +60,7 @@
 
 // Left returns the time until the last contact is older than limit; zero if it already is
 // or if there was none.
-func (f *Freshness) Left(limit time.Duration) time.Duration {
+func (f *Freshness) Remaining(limit time.Duration) time.Duration {
 	a := f.Age()
 	if a == 0 {
 		return 0
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -38,7 +38,7 @@
 // Return undoes Send after proof that the request did not run. It returns false
 // if Refuse was called in the meantime, in which case the request is now
 // refused.
-func (g *Gate) Return() bool {
+func (g *Gate) Unsend() bool {
 	if g == nil {
 		return true
 	}
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -31,7 +31,7 @@
 			case 2:
 				if out {
 					out = false
-					given = !g.Return()
+					given = !g.Unsend()
 				}
 			}
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -55,7 +55,7 @@
 	// that were answered or whose caller left.
 	Log *log.Logger
 	// Book returns the configuration in force, or nil before the first one.
-	Book func() *ingressbook.Ingressbook
+	Index func() *ingressbook.Ingressbook
 	// StoreAge returns the time since the store last answered this host or another one
 	// from which it receives the configuration; ok is false if it never did.
 	StoreAge func() (d time.Duration, ok bool)
@@ -74,7 +74,7 @@
 	// Latency records the duration of each answered request.
 	Latency *latency.Latency
 	// Counted is called with the outcome of each request.
-	Counted func(o string)
+	OnOutcome func(o string)
 
 	split       split.Split
 	sampleCount atomic.Uint64 // requests subject to sampling in the log
@@ -85,7 +85,7 @@
 // Answered, nothing was written to w, and the outcome is the reason.
 func (g *Gateway) Serve(ctx context.Context, r *request.Request, path, key string, w http.ResponseWriter) outcome.Outcome {
 	n := g.Clock.Now()
-	b := g.Book()
+	b := g.Index()
 	if b == nil {
 		return refuse(outcome.Leaving, "no configuration is known yet", retryAfter)
 	}
@@ -123,7 +123,7 @@
 	}
 	g.applyRoute(b, r, i, a)
 	if a != nil {
-		n, d, ok := g.Tokens.Take(ctx, a.Name, r.Patience)
+		n, d, ok := g.Tokens.Take(ctx, a.Name, r.MaxWait)
 		if !ok {
 			r.Trail.Add(g.Clock.Now(), "request over its rate", "Account", a.Name, "Tokens", n, "Rate", a.Rate, "Version", b.Config.Version)
 			return i, refuse(outcome.OverRate, "the account's rate is used up", d)
@@ -181,7 +181,7 @@
 	r.Route = i.Name
 	r.NonIdempotent = i.NonIdempotent
 	r.Attempts = i.Attempts
-	r.Patience = i.Objective / maxWaitDivisor
+	r.MaxWait = i.Objective / maxWaitDivisor
 	r.Tried = new(tried.Tried)
 	r.Trail = new(trail.Trail)
 	r.Priority = i.Priority
@@ -194,7 +194,7 @@
 		}
 	}
 	if len(h)+len(o) > 0 {
-		r.Homes = func(v string) bool { return allowsRegion(h, v) && allowsRegion(o, v) }
+		r.AllowsRegion = func(v string) bool { return allowsRegion(h, v) && allowsRegion(o, v) }
 	}
 	if !i.Sticky {
 		r.Object = ""
@@ -210,22 +210,22 @@
 	}
 	x, f := deadline.With(ctx, g.Clock, d)
 	defer f()
-	g.Placement.Count(r)
+	g.Placement.CountArrival(r)
 	o := g.Dispatch(x, r, w)
 	if o.Outcome == outcome.KeyUnknown {
-		b := g.Book()
+		b := g.Index()
 		g.traceRefusal(b, r, withdrawnFields(b, r.Credential.Hash)...)
 	}
 	if o.Ran == outcome.RanNo && r.Account != "" {
-		g.Tokens.Return(r.Account)
+		g.Tokens.Refund(r.Account)
 	}
 	return o
 }
 
 // Place waits for a slot on a backend server until r.Patience has passed since r was
 // admitted.
-func (g *Gateway) Place(ctx context.Context, r *request.Request) (slot.Slot, outcome.Outcome) {
-	u := r.Admitted.Add(r.Patience)
+func (g *Gateway) AcquireSlot(ctx context.Context, r *request.Request) (slot.Slot, outcome.Outcome) {
+	u := r.Admitted.Add(r.MaxWait)
 	n := 0 // denied permits
 	for {
 		c := g.Placement.Freed()
@@ -243,7 +243,7 @@
 		case ok && (d > 0 || n < minPermitRequests):
 			continue // another backend server may grant a permit
 		case !m || d <= 0:
-			r.Trail.Add(g.Clock.Now(), "request not placed", "Service", r.Service.Name, "Usable", m, "Patience", r.Patience, "Priority", r.Priority)
+			r.Trail.Add(g.Clock.Now(), "request not placed", "Service", r.Service.Name, "Usable", m, "Patience", r.MaxWait, "Priority", r.Priority)
 			return slot.Slot{}, refuse(outcome.NoCapacity, "no backend server has room", g.retryDelay(r, m))
 		}
 		select {
@@ -275,7 +275,7 @@
 	if usable {
 		return retryAfter
 	}
-	return max(retryAfter, g.Placement.Again(r))
+	return max(retryAfter, g.Placement.RetryAfter(r))
 }
 
 // newSlot returns the slot of a request on a backend server.
@@ -300,7 +300,7 @@
 // Valid reports whether the key that a request came with is still in force. A request
 // without a key is always valid.
 func (g *Gateway) Valid(c credential.Credential) bool {
-	return c.Hash == "" || g.Book().Holds(c.Hash)
+	return c.Hash == "" || g.Index().Holds(c.Hash)
 }
 
 // releaseOnce returns a function that calls f on its first call only.
@@ -312,7 +312,7 @@
 // recordEnd counts and logs the end of a request, and records the latency of an
 // answered one.
 func (g *Gateway) recordEnd(b *ingressbook.Ingressbook, r *request.Request, i *ingress.Ingress, o outcome.Outcome, d time.Duration) {
-	g.Counted(o.Outcome)
+	g.OnOutcome(o.Outcome)
 	if o.Outcome == outcome.Answered {
 		g.Latency.Observe(r.Route, d)
 	}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -70,16 +70,16 @@
 	w := &fixture{clock: c, store: &freshness.Freshness{Clock: c}, log: new(logbuffer.Logbuffer), whileWaiting: func() {}}
 	w.gateway = &gateway.Gateway{
 		Clock: c, Log: log.NewWithOptions(w.log, log.Options{Formatter: log.LogfmtFormatter}),
-		Book: func() *ingressbook.Ingressbook { return w.book },
+		Index: func() *ingressbook.Ingressbook { return w.book },
 		StoreAge: func() (time.Duration, bool) {
 			a := w.store.Age()
 			return time.Duration(max(a-1, 0)), a > 0
 		},
 		Tokens: &tokens.Tokens{
 			Clock: c, Self: "a", Hosts: func() []string { return []string{"a"} },
-			Ask: func(string, int64, int64, []string) bool { return false },
+			StartBorrowing: func(string, int64, int64, []string) bool { return false },
 		},
-		Placement: &placement.Placement{Clock: c}, Latency: new(latency.Latency), Counted: func(string) {},
+		Placement: &placement.Placement{Clock: c}, Latency: new(latency.Latency), OnOutcome: func(string) {},
 		Dispatch: w.dispatch,
 	}
 	return w
@@ -124,7 +124,7 @@
 	fixtureOf(s).configure(number(s, a[0]), l)
 }
 
-func answers(s *testscript.TestScript, _ bool, _ []string) { fixtureOf(s).store.Seen() }
+func answers(s *testscript.TestScript, _ bool, _ []string) { fixtureOf(s).store.RecordContact() }
 
 func pass(s *testscript.TestScript, _ bool, a []string) {
 	fixtureOf(s).clock.Advance(scripttest.Scripttest{Script: s}.Duration(a[0]))
@@ -163,14 +163,14 @@
 // which a backend server may grant a permit, if it does not grant one now.
 func placeRequest(ctx context.Context, patience time.Duration, again map[string]time.Duration) (slot.Slot, outcome.Outcome) {
 	w := newFixture()
-	p := &placement.Placement{Clock: w.clock, Rate: func(string) (float64, time.Duration) { return 0, 0 }}
+	p := &placement.Placement{Clock: w.clock, ColdCapacity: func(string) (float64, time.Duration) { return 0, 0 }}
 	p.Set([]backend.Backend{{Name: "c1", Slots: 2}, {Name: "c2", Slots: 2}}, func(string) time.Time { return time.Time{} })
 	w.gateway.Placement = p
 	w.gateway.Permit = func(_ context.Context, b backend.Backend) (time.Duration, bool) {
 		return again[b.Name], again[b.Name] == 0
 	}
-	return w.gateway.Place(ctx, &request.Request{
-		ID: "r1", Admitted: w.clock.Now(), Patience: patience, Tried: new(tried.Tried), Trail: new(trail.Trail),
+	return w.gateway.AcquireSlot(ctx, &request.Request{
+		ID: "r1", Admitted: w.clock.Now(), MaxWait: patience, Tried: new(tried.Tried), Trail: new(trail.Trail),
 	})
 }
 
@@ -200,7 +200,7 @@
 	_, o := placeRequest(x, 0, map[string]time.Duration{"c1": time.Second, "c2": time.Second})
 	must.EqOp(t, outcome.Left, o.Outcome)
 	w := newFixture()
-	_, o = w.gateway.Place(x, &request.Request{ID: "r1", Admitted: w.clock.Now(), Trail: new(trail.Trail)})
+	_, o = w.gateway.AcquireSlot(x, &request.Request{ID: "r1", Admitted: w.clock.Now(), Trail: new(trail.Trail)})
 	must.EqOp(t, outcome.NoCapacity, o.Outcome)
 	must.Positive(t, o.RetryAfter)
 }
--- a/gauge/gauge.go
+++ b/gauge/gauge.go
@@ -22,7 +22,7 @@
 	// Window is the period over which responses and failures are counted.
 	Window time.Duration
 	// Hold is the time without heartbeats after which a host's counts are excluded.
-	Hold time.Duration
+	Timeout time.Duration
 
 	mu    sync.Mutex
 	hosts map[string]*hostProcess
@@ -44,7 +44,7 @@
 
 // Note records a heartbeat of a peer or of this host. The heartbeat must not be
 // modified afterwards.
-func (g *Gauge) Note(h *wire.Heartbeat) {
+func (g *Gauge) Record(h *wire.Heartbeat) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.hosts == nil {
@@ -72,7 +72,7 @@
 	defer g.mu.Unlock()
 	n := g.Clock.Now()
 	for k, s := range g.hosts {
-		if n.Sub(s.lastReceived) > g.Hold {
+		if n.Sub(s.lastReceived) > g.Timeout {
 			delete(g.hosts, k)
 		}
 	}
--- a/gauge/gauge_test.go
+++ b/gauge/gauge_test.go
@@ -18,9 +18,9 @@
 // the last seconds, and no negative differences.
 func TestObserve(t *testing.T) {
 	c := clockwork.NewFakeClock()
-	g := &gauge.Gauge{Clock: c, Window: 10 * time.Second, Hold: 9 * time.Second}
+	g := &gauge.Gauge{Clock: c, Window: 10 * time.Second, Timeout: 9 * time.Second}
 	note := func(n string, i, answers, failures uint64) {
-		g.Note(&wire.Heartbeat{
+		g.Record(&wire.Heartbeat{
 			From:    &wire.Host{Name: n, Incarnation: i, Region: "lagos"},
 			Loads:   []*wire.Load{{Service: "Listings", Slots: 8, Busy: 2, Waiting: 1, Answers: answers, Failures: failures, AnswerNanoseconds: answers * 1000}},
 			Origins: []*wire.Origin{{Service: "Listings", Region: "lagos", Lookups: answers}},
--- a/golden/golden.go
+++ b/golden/golden.go
@@ -14,7 +14,7 @@
 // Play calls play with the input files of each archive and compares the result
 // with the expected output. With UPDATE set in the environment it rewrites the
 // expected output instead.
-func Play(t *testing.T, play func(t *testing.T, parts [][]byte) string) {
+func Run(t *testing.T, play func(t *testing.T, parts [][]byte) string) {
 	t.Helper()
 	f, err := filepath.Glob("testdata/*.txtar")
 	must.NoError(t, err)
--- a/grant/grant.go
+++ b/grant/grant.go
@@ -24,14 +24,14 @@
 	// Unknown is true if the current division does not contain this process, or
 	// none is known yet. Requests then wait for a short time instead of being
 	// refused.
-	Unknown bool
+	Unassigned bool
 	// Unused is true if no host used the limit before this grant, so that its
 	// bucket may start full.
-	Unused bool
+	FirstUse bool
 }
 
 // Part returns the fraction that may be used at now.
-func (g Grant) Part(now time.Time) float64 {
+func (g Grant) Fraction(now time.Time) float64 {
 	f := 0.0
 	if now.Before(g.FloorUntil) && !now.Before(g.FloorSince) {
 		f = g.Floor
--- a/group/group.go
+++ b/group/group.go
@@ -24,9 +24,9 @@
 	// Gap is the minimum time between the starts of two commits. A write after
 	// an idle period is committed at once, and a host never makes more than
 	// 1/Gap commits per second.
-	Gap time.Duration
+	MinInterval time.Duration
 	// Limit is the maximum number of rows in a commit.
-	Limit int
+	MaxRows int
 	// Timeout bounds each commit.
 	Timeout time.Duration
 
@@ -67,7 +67,7 @@
 		b = &batch{done: make(chan struct{})}
 		g.openBatch = b
 		n := g.Clock.Now()
-		t := g.lastStart.Add(g.Gap)
+		t := g.lastStart.Add(g.MinInterval)
 		if t.Before(n) {
 			t = n
 		}
@@ -78,7 +78,7 @@
 	b.commit.Expect = append(b.commit.Expect, row.Row{Key: r.Key, Version: r.Version})
 	b.commit.Put = append(b.commit.Put, row.Row{Key: r.Key, Value: r.Value})
 	b.commit.Put = append(b.commit.Put, index...)
-	if len(b.commit.Put) >= g.Limit {
+	if len(b.commit.Put) >= g.MaxRows {
 		g.openBatch = nil
 	}
 	return b
--- a/group/group_test.go
+++ b/group/group_test.go
@@ -21,7 +21,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := make(chan int, 100)
 		g := &group.Group{
-			Clock: clockwork.NewRealClock(), Gap: time.Second, Limit: 100, Timeout: time.Hour,
+			Clock: clockwork.NewRealClock(), MinInterval: time.Second, MaxRows: 100, Timeout: time.Hour,
 			Commit: func(_ context.Context, k commit.Commit) (bool, error) {
 				s <- len(k.Put)
 				return true, nil
--- a/growth/growth.go
+++ b/growth/growth.go
@@ -46,7 +46,7 @@
 }
 
 // Note counts a request of the domain's own callers that ran.
-func (g *Growth) Note() {
+func (g *Growth) CountLocal() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.startInterval(g.Clock.Now())
@@ -73,7 +73,7 @@
 }
 
 // Return takes back an admitted request that was refused later and did not run.
-func (g *Growth) Return() {
+func (g *Growth) Cancel() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tokens++
--- a/growth/growth_test.go
+++ b/growth/growth_test.go
@@ -38,7 +38,7 @@
 					}
 				}
 				for range rapid.IntRange(0, 5).Draw(t, "own") {
-					g.Note()
+					g.CountLocal()
 					own++
 				}
 				c.Advance(interval / 100)
--- a/hedge/hedge.go
+++ b/hedge/hedge.go
@@ -20,7 +20,7 @@
 	Initial time.Duration
 	// Least and Most limit the delay. Most is also the time within which a connection
 	// that has gone silent is detected.
-	Least, Most time.Duration
+	Min, Max time.Duration
 
 	mu     sync.Mutex
 	delays map[string]*serviceDelay
@@ -65,5 +65,5 @@
 	v := append([]time.Duration(nil), s.ring[:min(s.count, maxSamples)]...)
 	sort.Slice(v, func(i, j int) bool { return v[i] < v[j] })
 	q := v[int(quantile*float64(len(v)-1))]
-	s.delay = min(max(2*q, h.Least), h.Most)
+	s.delay = min(max(2*q, h.Min), h.Max)
 }
--- a/holding/holding.go
+++ b/holding/holding.go
@@ -50,10 +50,10 @@
 	// Owed is how long tokens that this host lent remain usable by the borrower
 	// after this host stopped lending. A new epoch is not reported before this
 	// time has passed.
-	Owed time.Duration
+	LoanDuration time.Duration
 	// Changing is called before the part that this host may use changes, while
 	// Grant still returns the old grants. It must not block.
-	Changing func()
+	BeforeChange func()
 
 	view atomic.Pointer[view]
 
@@ -111,7 +111,7 @@
 
 // Learn takes a division. Read is the time just before the table read that
 // returned it, or zero if it came from a peer.
-func (h *Holding) Learn(d division.Division, read time.Time) {
+func (h *Holding) ApplyDivision(d division.Division, read time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
@@ -131,7 +131,7 @@
 
 // Heard takes the epoch that a peer reports. Sent is when this host sent the
 // heartbeat that the peer answered, or zero if the peer started the exchange.
-func (h *Holding) Heard(name string, incarnation, epoch uint64, sent time.Time) {
+func (h *Holding) RecordPeerEpoch(name string, incarnation, epoch uint64, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
@@ -162,12 +162,12 @@
 // Report returns the epoch to send in a heartbeat. By sending it, this host
 // promises that it no longer uses anything that the epoch took away from it,
 // and that it no longer confirms any earlier epoch.
-func (h *Holding) Report() uint64 {
+func (h *Holding) ReportEpoch() uint64 {
 	b := h.Busy != nil && h.Busy()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n, e := h.Clock.Now(), h.epoch()
-	if d := n.Sub(h.epochLearnedAt); b && d < h.Hold || e > 1 && d < h.Owed {
+	if d := n.Sub(h.epochLearnedAt); b && d < h.Hold || e > 1 && d < h.LoanDuration {
 		return h.reportedEpochs.last()
 	}
 	h.reportedEpochs.record(e, n)
@@ -175,7 +175,7 @@
 }
 
 // Wanted returns the highest epoch known from the table or from any peer.
-func (h *Holding) Wanted() uint64 {
+func (h *Holding) HighestKnownEpoch() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.knownEpochs.last()
@@ -201,7 +201,7 @@
 // Moved reports whether some process of a failure domain, whose hosts are given
 // by of, has been on epoch or a later one for Hold. By then every running
 // process of the domain has stopped using the floors of earlier epochs.
-func (h *Holding) Moved(epoch uint64, of func(name string) bool) bool {
+func (h *Holding) DomainReachedEpoch(epoch uint64, of func(name string) bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
@@ -218,7 +218,7 @@
 
 // Steady reports whether the process has run without a gap for Hold. If so, a
 // process from which nothing has been received by now is silent.
-func (h *Holding) Steady() bool {
+func (h *Holding) RanWithoutGap() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ranWithoutGap(h.Clock.Now())
@@ -235,14 +235,14 @@
 		return true
 	}
 	d := h.divisions[len(h.divisions)-1]
-	return d.Leases(h.Self) && n.Sub(h.quorumConfirmedAt(d, n)) > h.Hold/2
+	return d.HoldsLease(h.Self) && n.Sub(h.quorumConfirmedAt(d, n)) > h.Hold/2
 }
 
 // Grant returns what this host may use of a limit.
 func (h *Holding) Grant(limit string) grant.Grant {
 	v := h.view.Load()
 	if v == nil {
-		return grant.Grant{Unknown: true}
+		return grant.Grant{Unassigned: true}
 	}
 	return v.grant(v.usages.limit(limit))
 }
@@ -251,15 +251,15 @@
 func (h *Holding) Rate(account string) grant.Grant {
 	v := h.view.Load()
 	if v == nil {
-		return grant.Grant{Unknown: true}
+		return grant.Grant{Unassigned: true}
 	}
 	return v.grant(v.usages.rate(account))
 }
 
 // Part returns the fraction of a limit that this host may use at the moment, in
 // 0..1.
-func (h *Holding) Part(limit string) float64 {
-	return h.Grant(limit).Part(h.Clock.Now())
+func (h *Holding) Fraction(limit string) float64 {
+	return h.Grant(limit).Fraction(h.Clock.Now())
 }
 
 // Slots returns which of the total slots of a limit this host may use at the
@@ -273,7 +273,7 @@
 	u, n := v.usages.limit(limit), h.Clock.Now()
 	var r []int
 	for k := range total {
-		m := uint32((2*k + 1) * span.Whole / (2 * total))
+		m := uint32((2*k + 1) * span.FullLength / (2 * total))
 		f := n.Before(v.floorUntil) && span.Contains(u.floorSpans, m)
 		l := n.Before(v.leasedUntil) && span.Contains(u.leasedSpans, m)
 		if f || l {
--- a/holding/holding_test.go
+++ b/holding/holding_test.go
@@ -31,19 +31,19 @@
 		busy := false
 		h := &holding.Holding{Clock: c, Self: s, Hold: hold, StoreHold: time.Hour, Busy: func() bool { return busy }}
 		h.Tick()
-		h.Learn(divide(1, s, span.Whole), c.Now())
-		must.Eq(t, 1, h.Report())
+		h.ApplyDivision(divide(1, s, span.FullLength), c.Now())
+		must.Eq(t, 1, h.ReportEpoch())
 		must.Len(t, 4, h.Slots(limit, 4))
 		busy = true
-		h.Learn(divide(2, s, span.Whole/2), c.Now())
+		h.ApplyDivision(divide(2, s, span.FullLength/2), c.Now())
 		must.Len(t, 2, h.Slots(limit, 4))
-		must.Eq(t, 1, h.Report())
+		must.Eq(t, 1, h.ReportEpoch())
 		if ends {
 			busy = false
 		} else {
 			c.Advance(hold)
 		}
-		must.Eq(t, 2, h.Report())
+		must.Eq(t, 2, h.ReportEpoch())
 	}
 }
 
--- a/holding/view.go
+++ b/holding/view.go
@@ -92,7 +92,7 @@
 	}
 	v := &view{
 		epoch: h.epoch(), minLeasedEpoch: h.minLeasedEpoch, minFloorEpoch: h.minFloorEpoch, neverUsed: h.epoch() == 1,
-		notInDivision: !h.divisions[len(h.divisions)-1].Names(h.Self), floorSince: now, floorUntil: h.floorUntil(now), leasedSince: now, leasedUntil: h.leasedUntil(now),
+		notInDivision: !h.divisions[len(h.divisions)-1].Includes(h.Self), floorSince: now, floorUntil: h.floorUntil(now), leasedSince: now, leasedUntil: h.leasedUntil(now),
 	}
 	g := false
 	if o.usages != nil && v.epoch == o.epoch && v.minLeasedEpoch == o.minLeasedEpoch && v.minFloorEpoch == o.minFloorEpoch {
@@ -105,8 +105,8 @@
 		}
 		g = true
 	}
-	if g && h.Changing != nil {
-		h.Changing()
+	if g && h.BeforeChange != nil {
+		h.BeforeChange()
 	}
 	h.view.Store(v)
 }
@@ -114,7 +114,7 @@
 func (v *view) grant(u *usage) grant.Grant {
 	return grant.Grant{
 		Floor: u.floor, FloorSince: v.floorSince, FloorUntil: v.floorUntil,
-		Leased: u.leased, LeasedSince: v.leasedSince, LeasedUntil: v.leasedUntil, Unused: v.neverUsed, Unknown: v.notInDivision,
+		Leased: u.leased, LeasedSince: v.leasedSince, LeasedUntil: v.leasedUntil, FirstUse: v.neverUsed, Unassigned: v.notInDivision,
 	}
 }
 
@@ -136,7 +136,7 @@
 // enough holders or another table read confirm the epoch before.
 func (h *Holding) leasedUntil(now time.Time) time.Time {
 	d := h.divisions[len(h.divisions)-1]
-	if !d.Leases(h.Self) || h.tableReadAt.IsZero() {
+	if !d.HoldsLease(h.Self) || h.tableReadAt.IsZero() {
 		return time.Time{}
 	}
 	t := h.epochReadAt
@@ -175,7 +175,7 @@
 // ticks again before.
 func (h *Holding) floorUntil(now time.Time) time.Time {
 	e := h.epoch()
-	if h.minFloorEpoch == 0 || !h.divisions[len(h.divisions)-1].Names(h.Self) {
+	if h.minFloorEpoch == 0 || !h.divisions[len(h.divisions)-1].Includes(h.Self) {
 		return time.Time{}
 	}
 	if now.Sub(h.runningSince) < h.extendForDrift(h.Hold) && h.epochReadAt.Before(h.runningSince) {
@@ -194,7 +194,7 @@
 // epoch in common, so their parts do not overlap.
 func (u *usageCache) compute(limit string) *usage {
 	r := &usage{leased: 1}
-	w := []span.Span{{To: span.Whole}}
+	w := []span.Span{{To: span.FullLength}}
 	r.floorSpans, r.leasedSpans = w, w
 	for _, d := range u.divisions {
 		p := d.Part(limit, u.self)
@@ -225,5 +225,5 @@
 }
 
 func fraction(s []span.Span) float64 {
-	return float64(span.Length(s)) / span.Whole
+	return float64(span.Length(s)) / span.FullLength
 }
--- a/host/domain.go
+++ b/host/domain.go
@@ -73,19 +73,19 @@
 	h := x.host
 	d := x.localDomain
 	d.loan = &slotloan.Slotloan{
-		Clock: h.Clock, Host: h.Settings.Name, Longest: h.Settings.Hold * 9 / 10,
-		Siblings: x.slotLenders, Ask: x.peerclient.Borrow,
+		Clock: h.Clock, Host: h.Settings.Name, MaxLoan: h.Settings.Hold * 9 / 10,
+		Lenders: x.slotLenders, Send: x.peerclient.Borrow,
 	}
 	x.lanes = &lanes.Lanes{
 		Clock: h.Clock, Domains: x.slotDomains, Snapshot: x.follower.Snapshot,
-		Slots: x.ownedSlots, Borrowed: d.loan.Acquire,
-		Drained: x.recordDrain,
+		Slots: x.ownedSlots, AcquireBorrowed: d.loan.Acquire,
+		OnDrained: x.recordDrain,
 	}
-	d.loan.Adopt = x.lanes.Adopt
-	d.loan.Kick = x.lanes.Kick
+	d.loan.BorrowedSlot = x.lanes.BorrowedSlot
+	d.loan.OnBorrowed = x.lanes.GrantFree
 	d.loan.Lend = x.lendSlot
 	d.checks = &healthcheck.Healthcheck{
-		Clock: h.Clock, Interval: probeInterval, Timeout: probeTimeout, Backends: x.lanes.Suspects, Report: x.lanes.Probed,
+		Clock: h.Clock, Interval: probeInterval, Timeout: probeTimeout, Backends: x.lanes.ProbeTargets, Report: x.lanes.HandleProbe,
 	}
 }
 
@@ -104,9 +104,9 @@
 func (x *components) newForwarding() {
 	h := x.host
 	d := x.localDomain
-	d.links = &linklimit.Linklimit{Clock: h.Clock, Links: x.currentLinks, Part: x.limits.holding.Part}
+	d.links = &linklimit.Linklimit{Clock: h.Clock, Links: x.currentLinks, Part: x.limits.holding.Fraction}
 	d.streams = &streampool.Streampool{
-		Clock: h.Clock, Dial: h.dialPeer, Idle: streamIdleTimeout, PerAddress: streamsPerAddress, Dials: maxDials,
+		Clock: h.Clock, Dial: h.dialPeer, Idle: streamIdleTimeout, PerAddress: streamsPerAddress, MaxDials: maxDials,
 	}
 	x.forward = &forward.Forward{
 		Clock: h.Clock, Region: h.Settings.Region, Targets: x.forwardTargets, Open: d.streams.Open, Limit: maxForwards,
@@ -154,9 +154,9 @@
 	o := x.serveLocally(ctx, r, w)
 	switch {
 	case f && o.Ran == outcome.RanNo:
-		x.localDomain.growth.Return()
+		x.localDomain.growth.Cancel()
 	case !f && o.Ran != outcome.RanNo:
-		x.localDomain.growth.Note()
+		x.localDomain.growth.CountLocal()
 	}
 	return o
 }
@@ -177,7 +177,7 @@
 	}
 	s, t, ok := x.localDomain.links.Take(x.host.Settings.Region, region, r.Service.AnswerBytes)
 	if !ok {
-		x.localDomain.growth.Return()
+		x.localDomain.growth.Cancel()
 		return nil, outcome.Outcome{
 			Outcome: outcome.NoCapacity, Ran: outcome.RanNo, Message: "the link to the caller's region is full", RetryAfter: t,
 		}
@@ -185,7 +185,7 @@
 	return func(o outcome.Outcome, n int64) {
 		s(n)
 		if o.Ran == outcome.RanNo {
-			x.localDomain.growth.Return()
+			x.localDomain.growth.Cancel()
 		}
 	}, outcome.Outcome{}
 }
@@ -254,7 +254,7 @@
 }
 
 func (x *components) freeSlots(host, service string) int {
-	h, ok := x.membership.Last(host)
+	h, ok := x.membership.LastHeartbeat(host)
 	if !ok {
 		return 0
 	}
@@ -290,7 +290,7 @@
 		return r
 	}
 	for _, d := range s.Config.Domains {
-		if d.Name != r[0] && d.Region == x.host.Settings.Region && x.limits.holding.Part(author.SlotsPrefix+d.Name) > 0 {
+		if d.Name != r[0] && d.Region == x.host.Settings.Region && x.limits.holding.Fraction(author.SlotsPrefix+d.Name) > 0 {
 			r = append(r, d.Name)
 		}
 	}
--- a/host/limits.go
+++ b/host/limits.go
@@ -69,15 +69,15 @@
 	l := &limits{fetches: make(chan uint64, 1)}
 	l.holding = &holding.Holding{
 		Clock: h.Clock, Self: s, Hold: h.Settings.Hold, StoreHold: leasedShareLifetime, Every: h.Settings.Heartbeat,
-		Changing: x.quota.Sync, Busy: x.overcommitted, Owed: loanDuration + loanDuration/10,
+		BeforeChange: x.quota.RefillAll, Busy: x.overcommitted, LoanDuration: loanDuration + loanDuration/10,
 	}
 	l.demand = &demand.Demand{Clock: h.Clock, Hold: h.Settings.Hold, Account: x.account}
 	l.loan = loan.New(h.Clock, loanDuration)
-	l.loan.Self, l.loan.Lenders, l.loan.Ask, l.loan.Received = m.Name, x.tokenLenders, x.peerclient.Borrow, x.quota.Receive
+	l.loan.Self, l.loan.Lenders, l.loan.Send, l.loan.Received = m.Name, x.tokenLenders, x.peerclient.Borrow, x.quota.Receive
 	x.quota.Borrow = l.loan.Borrow
 	l.author = &author.Author{
 		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Holding: l.holding, Alive: x.activeHolders, Config: x.config,
-		Demand: l.demand.Fractions, Listed: x.membership.OnList, Every: h.Settings.Hold / pollsPerHold, Least: minDemandDivisionInterval,
+		Demand: l.demand.Fractions, Listed: x.membership.IsListed, Every: h.Settings.Hold / pollsPerHold, MinEpochInterval: minDemandDivisionInterval,
 	}
 	x.limits = l
 }
@@ -140,12 +140,12 @@
 		if !v.Leaving {
 			m[v.Name] = holder.Holder{Name: v.Name, Incarnation: v.Incarnation, Domain: v.Domain, Region: v.Region}
 		}
-		if h, ok := x.membership.Last(v.Name); ok {
+		if h, ok := x.membership.LastHeartbeat(v.Name); ok {
 			far = append(far, h.Known...)
 		}
 	}
 	for _, v := range far {
-		if _, ok := m[v.Name]; !ok && !v.Leaving && v.Name != s.Name && !x.membership.Leaves(v.Name) {
+		if _, ok := m[v.Name]; !ok && !v.Leaving && v.Name != s.Name && !x.membership.IsLeaving(v.Name) {
 			m[v.Name] = holder.Holder{Name: v.Name, Incarnation: v.Incarnation, Domain: v.Domain, Region: v.Region}
 		}
 	}
@@ -160,11 +160,11 @@
 // fillLimits adds to a heartbeat the division epoch and, in full heartbeats,
 // the demand of each account.
 func (x *components) fillLimits(h *wire.Heartbeat) {
-	h.Versions = append(h.Versions, &wire.Version{Kind: divisionKind, Version: x.limits.holding.Report()})
+	h.Versions = append(h.Versions, &wire.Version{Kind: divisionKind, Version: x.limits.holding.ReportEpoch()})
 	if !h.Full {
 		return
 	}
-	for n, v := range x.limits.demand.Of(x.host.Settings.Name) {
+	for n, v := range x.limits.demand.ForHost(x.host.Settings.Name) {
 		h.Demands = append(h.Demands, &wire.Demand{Account: n, Rate: v})
 	}
 }
@@ -177,10 +177,10 @@
 		for _, v := range h.Demands {
 			d[v.Account] = v.Rate
 		}
-		x.limits.demand.Note(h.From.Name, d)
+		x.limits.demand.Record(h.From.Name, d)
 	}
 	e := divisionEpoch(h)
-	x.limits.holding.Heard(h.From.Name, h.From.Incarnation, e, sent)
+	x.limits.holding.RecordPeerEpoch(h.From.Name, h.From.Incarnation, e, sent)
 	if e > x.limits.holding.Epoch() {
 		select {
 		case x.limits.fetches <- e:
@@ -210,7 +210,7 @@
 		}
 		for _, m := range x.membership.Alive() {
 			e := x.limits.holding.Epoch()
-			if h, ok := x.membership.Last(m.Name); ok && divisionEpoch(h) > e {
+			if h, ok := x.membership.LastHeartbeat(m.Name); ok && divisionEpoch(h) > e {
 				x.fetchDivision(ctx, m.PeerAddress, e)
 			}
 		}
@@ -229,7 +229,7 @@
 		x.host.Log.Error("cannot decode division", "From", address, "Error", err)
 		return
 	}
-	x.limits.holding.Learn(d, time.Time{})
+	x.limits.holding.ApplyDivision(d, time.Time{})
 }
 
 // handleDivisionFetch answers a peer that requests a division newer than the
@@ -253,7 +253,7 @@
 		case <-ctx.Done():
 		case <-x.host.Clock.After(demandSampleInterval):
 			n := x.host.Clock.Now()
-			x.limits.demand.Note(x.host.Settings.Name, x.quota.Demands(n.Sub(t)))
+			x.limits.demand.Record(x.host.Settings.Name, x.quota.Demands(n.Sub(t)))
 			t = n
 		}
 	}
--- a/host/parts.go
+++ b/host/parts.go
@@ -63,11 +63,11 @@
 	x.newBurn()
 	x.lookup = x.newLookup()
 	x.peerserver = &peerserver.Peerserver{
-		OnBeat:    x.membership.Receive,
-		OnFetch:   x.handleFetch,
-		OnBorrow:  x.handleBorrow,
-		OnForward: x.receive.Stream,
-		OnNotify:  x.steering.relay.Receive,
+		OnHeartbeat: x.membership.Receive,
+		OnFetch:     x.handleFetch,
+		OnBorrow:    x.handleBorrow,
+		OnForward:   x.receive.Stream,
+		OnNotify:    x.steering.relay.Receive,
 	}
 	x.steering.relay.Replicas = x.replicas()
 	return x
@@ -76,9 +76,9 @@
 func (x *components) newMembership() *membership.Membership {
 	h := x.host
 	return &membership.Membership{
-		Clock: h.Clock, Log: h.Log, Self: x.self, Seeds: h.Settings.Peers, Listed: h.Platform.Hosts,
-		Interval: h.Settings.Heartbeat, Hold: h.Settings.Hold, Beat: x.peerclient.Beat,
-		Compose: x.fillHeartbeat, Heard: x.handleHeartbeat,
+		Clock: h.Clock, Log: h.Log, Self: x.self, Seeds: h.Settings.Peers, ListHosts: h.Platform.Hosts,
+		Interval: h.Settings.Heartbeat, Hold: h.Settings.Hold, SendHeartbeat: x.peerclient.Beat,
+		FillHeartbeat: x.fillHeartbeat, OnHeartbeat: x.handleHeartbeat,
 	}
 }
 
--- a/host/plans.go
+++ b/host/plans.go
@@ -44,10 +44,10 @@
 func (x *components) newPlanner(s *steering) *planner.Planner {
 	h := x.host
 	return &planner.Planner{
-		Clock: h.Clock, Log: h.Log, Interval: planInterval, Lag: maxMeasurementLag, Preset: x.preset,
+		Clock: h.Clock, Log: h.Log, Interval: planInterval, MeasurementDelay: maxMeasurementLag, Preset: x.preset,
 		Draining: x.drainingRegions, Domains: x.domains, Observe: x.observations, Current: s.plans.Plan,
-		Quiet: func() bool { return s.failover.Quiet(x.preset().ShiftInterval) },
-		Held:  s.lease.Held,
+		FailoverIdle: func() bool { return s.failover.IdleFor(x.preset().ShiftInterval) },
+		LeaseEpoch:   s.lease.Held,
 		Publish: func(ctx context.Context, from uint64, p *plan.Plan) (bool, error) {
 			return x.publishPlan(ctx, from, p)
 		},
@@ -121,8 +121,8 @@
 func (x *components) newLookup() *lookup.Lookup {
 	return &lookup.Lookup{
 		Snapshot: x.follower.Snapshot, Plan: x.steering.plans.Plan, Hosts: x.roster,
-		Block: x.findBlock, Home: x.host.Settings.Region, Lost: x.isRegionLost, Last: x.lastKnownHosts,
-		Moved: x.steering.failover.Moved, Asked: x.steering.meter.Asked, Random: nonZeroRandom,
+		Block: x.findBlock, DefaultRegion: x.host.Settings.Region, Lost: x.isRegionLost, LastKnownHosts: x.lastKnownHosts,
+		MovedPoints: x.steering.failover.MovedPoints, OnLookup: x.steering.meter.CountLookup, Random: nonZeroRandom,
 	}
 }
 
@@ -139,9 +139,9 @@
 	o := x.dispatch.Serve(ctx, r, w)
 	switch o.Outcome {
 	case outcome.Answered:
-		x.steering.meter.Served(r.Service.Name, x.host.Clock.Since(t), false)
+		x.steering.meter.CountRequest(r.Service.Name, x.host.Clock.Since(t), false)
 	case outcome.NoCapacity, outcome.BackendFailed, outcome.OutcomeUnknown:
-		x.steering.meter.Served(r.Service.Name, 0, true)
+		x.steering.meter.CountRequest(r.Service.Name, 0, true)
 	}
 	return o
 }
@@ -189,7 +189,7 @@
 	m := x.self()
 	h := &wire.Heartbeat{From: &wire.Host{Name: m.Name, Incarnation: m.Incarnation, Domain: m.Domain, Region: m.Region}}
 	x.fillHeartbeat(h)
-	x.steering.gauge.Note(h)
+	x.steering.gauge.Record(h)
 }
 
 func (x *components) observations() []observation.Observation {
--- a/host/product.go
+++ b/host/product.go
@@ -41,14 +41,14 @@
 func (x *components) operatorHandler() http.Handler {
 	return &operator.Operator{
 		Log: x.host.Log, Snapshot: x.follower.Snapshot, History: &x.history,
-		Change: x.newChange(), Check: validate.Config, Status: x.status, Sums: x.burn.Sums, Kept: x.storedCounts, Why: x.explainLookup,
+		Change: x.newChange(), Validate: validate.Config, Status: x.status, Sums: x.burn.Sums, StoredSums: x.storedCounts, ExplainLookup: x.explainLookup,
 	}
 }
 
 // newBurn creates the components that count requests for the burn report.
 func (x *components) newBurn() {
-	x.burn = &burn.Burn{Clock: x.host.Clock, Self: x.self(), Latency: x.latencyObjective, Loads: x.lanes.Loads}
-	x.keep = &keep.Keep{Clock: x.host.Clock, Log: x.host.Log, Platform: x.host.Platform, Every: storeCountsInterval, Sums: x.burn.Sums}
+	x.burn = &burn.Burn{Clock: x.host.Clock, Self: x.self(), Latency: x.latencyObjective, SlotLoads: x.lanes.Loads}
+	x.keep = &keep.Keep{Clock: x.host.Clock, Log: x.host.Log, Platform: x.host.Platform, Interval: storeCountsInterval, Sums: x.burn.Sums}
 }
 
 // latencyObjective returns the latency objective of a service, zero if there is
@@ -73,14 +73,14 @@
 
 func (x *components) recordDrain(name, sign string, d time.Duration) {
 	x.host.Log.Info("backend server drained", "Backend", name, "Sign", sign, "Took", d)
-	x.burn.Drained(name, d)
+	x.burn.RecordDrain(name, d)
 }
 
 // storedCounts returns the stored counts of processes that this host receives
 // no heartbeats from.
 func (x *components) storedCounts(ctx context.Context) ([]sums.Sums, error) {
 	h := x.hosts()
-	return x.keep.Kept(ctx, func(host string, incarnation uint64) bool {
+	return x.keep.Load(ctx, func(host string, incarnation uint64) bool {
 		return slices.ContainsFunc(h, func(m member.Member) bool { return m.Name == host && m.Incarnation == incarnation })
 	})
 }
--- a/host/requests.go
+++ b/host/requests.go
@@ -67,20 +67,20 @@
 	q := &x.requests
 	q.idempotency = &idempotency.Idempotency{
 		Clock: h.Clock, Platform: h.Platform, Host: h.Settings.Name, Incarnation: h.Incarnation,
-		Group: &group.Group{Clock: h.Clock, Commit: h.Platform.Commit, Gap: minCommitInterval, Limit: maxCommitBatch, Timeout: storeTimeout},
+		Group: &group.Group{Clock: h.Clock, Commit: h.Platform.Commit, MinInterval: minCommitInterval, MaxRows: maxCommitBatch, Timeout: storeTimeout},
 		Alive: x.isProcessAlive, Timeout: storeTimeout, Index: expiry.Index,
 	}
-	q.expiry = &expiry.Expiry{Clock: h.Clock, Log: h.Log, Platform: h.Platform, Retention: retention, Sweeps: x.runsExpirySweep}
+	q.expiry = &expiry.Expiry{Clock: h.Clock, Log: h.Log, Platform: h.Platform, Retention: retention, IsSweeper: x.runsExpirySweep}
 	q.tickets = &ticket.Ticket{
-		Clock: h.Clock, Host: h.Settings.Name, Incarnation: h.Incarnation, Find: x.processCallerAddress,
-		Lifetime: ticketLifetime, Bytes: maxTicketBytes, Limit: maxTickets,
+		Clock: h.Clock, Host: h.Settings.Name, Incarnation: h.Incarnation, HostAddress: x.processCallerAddress,
+		Lifetime: ticketLifetime, MaxAnswerBytes: maxTicketBytes, MaxUsed: maxTickets,
 	}
 	x.dispatch = &dispatch.Dispatch{
 		Clock: h.Clock, Queue: x.lanes.Queue, Valid: x.admission.Valid, Confirm: x.confirmToken, Upstream: upstream.New(h.Clock, dialTimeout),
 		Timeout: func() time.Duration { return x.follower.Snapshot().Preset.MaxWait },
 		Budget:  &budget.Budget{Ratio: func() float64 { return x.follower.Snapshot().Preset.RetryBudget }},
-		Hedge:   &hedge.Hedge{Initial: initialHedgeDelay, Least: minHedgeDelay, Most: maxHedgeDelay},
-		Whole:   &whole.Whole{Clock: h.Clock, Limit: maxHeldBytes, Patience: slowReadTimeout},
+		Hedge:   &hedge.Hedge{Initial: initialHedgeDelay, Min: minHedgeDelay, Max: maxHedgeDelay},
+		Whole:   &whole.Whole{Clock: h.Clock, BufferLimit: maxHeldBytes, WriteTimeout: slowReadTimeout},
 	}
 }
 
--- a/host/secure.go
+++ b/host/secure.go
@@ -20,14 +20,14 @@
 		if err != nil {
 			return nil, nil, nil, err
 		}
-		c = tls.NewListener(callers, x.Server())
+		c = tls.NewListener(callers, x.ServerConfig())
 	}
 	if s.OperatorTLS != nil {
 		x, err := h.loadCerts("OperatorTLS", *s.OperatorTLS)
 		if err != nil {
 			return nil, nil, nil, err
 		}
-		o = tls.NewListener(operators, x.Server())
+		o = tls.NewListener(operators, x.ServerConfig())
 	}
 	if s.PeerTLS != nil {
 		x, err := h.loadCerts("PeerTLS", *s.PeerTLS)
@@ -35,7 +35,7 @@
 			return nil, nil, nil, err
 		}
 		h.peerCerts = x
-		p = tls.NewListener(peers, x.Mutual())
+		p = tls.NewListener(peers, x.MutualConfig())
 	}
 	return c, p, o, nil
 }
@@ -58,7 +58,7 @@
 	}
 	x, f := context.WithTimeout(ctx, dialTimeout)
 	defer f()
-	c := tls.Client(n, h.peerCerts.Client(a))
+	c := tls.Client(n, h.peerCerts.ClientConfig(a))
 	if err := c.HandshakeContext(x); err != nil {
 		_ = n.Close()
 		return nil, errors.Wrap(err, "handshake")
--- a/host/steering.go
+++ b/host/steering.go
@@ -84,7 +84,7 @@
 		freshness: &freshness.Freshness{Clock: h.Clock},
 		relay: &relay.Relay{
 			Clock: h.Clock, Log: h.Log, Self: x.self, Peers: func() []member.Member { return x.membership.Alive() },
-			Fanout: relayFanout, Timeout: relayTimeout, Retry: relayRetry,
+			Fanout: relayFanout, Timeout: relayTimeout, RetryDelay: relayRetry,
 			Fetch: func(ctx context.Context, a string, f *wire.FetchRequest) (*wire.FetchResponse, error) {
 				return x.peerclient.Fetch(ctx, a, f)
 			},
@@ -93,19 +93,19 @@
 			},
 		},
 		known: make(map[string]knownHost), newest: make(map[string]uint64), meter: new(meter.Meter), started: h.Clock.Now(),
-		gauge: &gauge.Gauge{Clock: h.Clock, Window: gaugeWindow, Hold: lostAfterHolds * h.Settings.Hold},
+		gauge: &gauge.Gauge{Clock: h.Clock, Window: gaugeWindow, Timeout: lostAfterHolds * h.Settings.Hold},
 	}
 	s.plans = &planfollower.Planfollower{
 		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Poll: x.pollInterval,
 		Changed: func() {
 			s.relay.Wake()
-			s.failover.Planned()
+			s.failover.RecordPlan()
 		},
 	}
 	s.blocks = &blockfollower.Blockfollower{
 		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Poll: x.pollInterval, Changed: s.relay.Wake, Timeout: chunksTimeout,
 		Fetch: func(ctx context.Context, hash string) ([]byte, error) {
-			return s.relay.Ask(ctx, s.blocks.Replica(), blockfollower.ChunkKind, hash)
+			return s.relay.FetchPart(ctx, s.blocks.Replica(), blockfollower.ChunkKind, hash)
 		},
 	}
 	s.relay.Object = func(kind, hash string) []byte {
@@ -114,7 +114,7 @@
 		}
 		return s.blocks.Chunk(hash)
 	}
-	s.failover = &failover.Failover{Clock: h.Clock, Preset: x.preset, Share: x.regionShare, Room: x.spareCapacity}
+	s.failover = &failover.Failover{Clock: h.Clock, Preset: x.preset, Share: x.regionShare, FreeCapacity: x.spareCapacity}
 	s.lease = x.newLease()
 	s.planner = x.newPlanner(s)
 	return s
@@ -124,7 +124,7 @@
 	h := x.host
 	return &follower.Follower{
 		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Poll: x.pollInterval, Changed: x.steering.relay.Wake,
-		Polled: x.steering.freshness.Seen,
+		Polled: x.steering.freshness.RecordContact,
 	}
 }
 
@@ -134,7 +134,7 @@
 		// The accepting host applies the change without waiting for its next
 		// poll, so that the withdrawal of a key is distributed to all hosts as
 		// soon as it is accepted.
-		Accepted: func(a accepted.Accepted, b []byte) {
+		OnAccepted: func(a accepted.Accepted, b []byte) {
 			if err := x.follower.Offer(a.Version, a.Hash, b); err != nil {
 				x.host.Log.Error("cannot apply accepted configuration", "Version", a.Version, "Error", err)
 			}
@@ -182,8 +182,8 @@
 		v.Hash = accepted.Short(v.Hash)
 		h.Versions = append(h.Versions, v)
 	}
-	h.KeyAgeNanoseconds = x.steering.freshness.Own()
-	x.steering.meter.Fill(h)
+	h.KeyAgeNanoseconds = x.steering.freshness.OwnAge()
+	x.steering.meter.AddTo(h)
 	x.steering.failover.Each(func(service, region string, points int) {
 		h.Evacuations = append(h.Evacuations, &wire.Evacuation{Service: service, Region: region, PartsPerMillion: uint32(points)})
 	})
@@ -192,13 +192,13 @@
 func (x *components) handleSteering(h *wire.Heartbeat) {
 	s := x.steering
 	if h.From.Domain == x.host.Settings.Domain {
-		s.freshness.Heard(h.KeyAgeNanoseconds)
+		s.freshness.RecordRemoteAge(h.KeyAgeNanoseconds)
 	} else {
-		s.freshness.Seen()
+		s.freshness.RecordContact()
 	}
-	s.relay.Heard(h.From.Name, h.Versions)
+	s.relay.RecordVersions(h.From.Name, h.Versions)
 	s.recordHeartbeat(h, x.host.Clock.Now())
-	s.gauge.Note(h)
+	s.gauge.Record(h)
 	if !s.ready.Load() {
 		for _, e := range h.Evacuations {
 			s.failover.Adopt(e.Service, e.Region, int(e.PartsPerMillion))
@@ -240,7 +240,7 @@
 			d = append(d, o.Name)
 		}
 	}
-	return inforce.Of(version, v, x.self(), k, d, x.membership.Last)
+	return inforce.Of(version, v, x.self(), k, d, x.membership.LastHeartbeat)
 }
 
 // waitUntilReady admits callers once the host has the newest versions that it
@@ -289,7 +289,7 @@
 			// fetches it, so the wait is bounded.
 			return waited >= maxReadyWaitHolds*x.host.Settings.Hold
 		}
-		p = p && r.Read()
+		p = p && r.HasPolled()
 	}
 	if !x.limits.holding.Valid() && waited < maxReadyWaitHolds*x.host.Settings.Hold {
 		// The host would refuse callers that are within their rate.
@@ -305,7 +305,7 @@
 	if s == nil || len(s.Config.Accounts) == 0 {
 		return s != nil
 	}
-	return x.grant(s.Config.Accounts[0].Name).Part(x.host.Clock.Now()) > 0
+	return x.grant(s.Config.Accounts[0].Name).Fraction(x.host.Clock.Now()) > 0
 }
 
 // isIsolated reports whether nothing was received from other failure domains
--- a/host/tree.go
+++ b/host/tree.go
@@ -54,7 +54,7 @@
 			child.Child{Name: "records", Run: x.requests.idempotency.Run},
 			child.Child{Name: "expiry", Run: x.requests.expiry.Run},
 			child.Child{Name: "callers", Run: (&httplisten.Httplisten{
-				Listener: c, Handler: x.callerHandler(), Leave: x.shutDown, DrainTimeout: lastResponseTimeout,
+				Listener: c, Handler: x.callerHandler(), BeforeShutdown: x.shutDown, DrainTimeout: lastResponseTimeout,
 			}).Run},
 		),
 	)
--- a/host/why.go
+++ b/host/why.go
@@ -58,9 +58,9 @@
 		g := x.grant(a.Name)
 		f := g
 		f.Leased = 0
-		v := share.Share{Account: a.Name, Floor: f.Part(n)}
-		v.Leased = g.Part(n) - v.Floor
-		v.Rate = g.Part(n) * a.Rate
+		v := share.Share{Account: a.Name, Floor: f.Fraction(n)}
+		v.Leased = g.Fraction(n) - v.Floor
+		v.Rate = g.Fraction(n) * a.Rate
 		v.Lent = x.quota.Lent(a.Name)
 		if v.Rate > 0 {
 			r = append(r, v)
--- a/httplisten/httplisten.go
+++ b/httplisten/httplisten.go
@@ -29,7 +29,7 @@
 	// Handler serves the requests.
 	Handler http.Handler
 	// Leave, if set, runs after ctx has ended and before the listener is closed.
-	Leave func(ctx context.Context)
+	BeforeShutdown func(ctx context.Context)
 	// Limits, if set, returns how long a caller may take for the header of the first
 	// request on a connection, and how long until the header of a later request is
 	// complete; zero means 5 s and 2 min. It is called again for each wait, which
@@ -58,8 +58,8 @@
 		return errors.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	if l.Leave != nil {
-		l.Leave(context.WithoutCancel(ctx))
+	if l.BeforeShutdown != nil {
+		l.BeforeShutdown(context.WithoutCancel(ctx))
 	}
 	x, f := context.WithTimeout(context.WithoutCancel(ctx), l.DrainTimeout)
 	defer f()
--- a/idempotency/store_test.go
+++ b/idempotency/store_test.go
@@ -90,7 +90,7 @@
 	return &idempotency.Idempotency{
 		Clock: c, Platform: p, Host: name, Incarnation: incarnation, Alive: alive, Timeout: 100 * time.Millisecond,
 		// Without Gap and Timeout, because advance would count their timers.
-		Group: &group.Group{Clock: c, Commit: p.Commit, Limit: 16},
+		Group: &group.Group{Clock: c, Commit: p.Commit, MaxRows: 16},
 	}
 }
 
--- a/keep/keep.go
+++ b/keep/keep.go
@@ -38,7 +38,7 @@
 	// Platform stores the counts.
 	Platform store.Store
 	// Every is the interval between two writes.
-	Every time.Duration
+	Interval time.Duration
 	// Sums returns the host's counts.
 	Sums func() sums.Sums
 
@@ -64,7 +64,7 @@
 			defer f()
 			k.save(x, k.Clock.Now().Add(time.Minute))
 			return nil
-		case <-k.Clock.After(k.Every):
+		case <-k.Clock.After(k.Interval):
 			// The current minute is incomplete and is left to the next write.
 			k.save(ctx, k.Clock.Now().Truncate(time.Minute))
 		}
@@ -101,7 +101,7 @@
 	}
 	r := row.Row{Key: fmt.Sprintf("%s%s/%016x/%06d", prefix, s.Host, s.Incarnation, k.nextSequence), Value: v}
 	c := commit.Commit{Put: []row.Row{r}}
-	n := int(retention / k.Every)
+	n := int(retention / k.Interval)
 	if len(k.ownKeys) > n {
 		c.Delete = []string{k.ownKeys[0]}
 	}
@@ -120,7 +120,7 @@
 // Kept returns the counts of processes that no longer run, and removes the rows
 // that are older than the longest window. Alive reports whether a process still
 // runs and therefore returns its counts itself.
-func (k *Keep) Kept(ctx context.Context, alive func(host string, incarnation uint64) bool) ([]sums.Sums, error) {
+func (k *Keep) Load(ctx context.Context, alive func(host string, incarnation uint64) bool) ([]sums.Sums, error) {
 	l, err := k.Platform.Scan(ctx, prefix)
 	if err != nil {
 		return nil, err
--- a/keep/keep_test.go
+++ b/keep/keep_test.go
@@ -69,7 +69,7 @@
 		v.Tallies = append(v.Tallies, tally.Tally{Minute: c.Now().Unix() / 60, Account: "a", Service: "s", Answered: n})
 	}
 	k := &keep.Keep{
-		Clock: c, Log: log.New(io.Discard), Platform: s.platform(), Every: time.Minute,
+		Clock: c, Log: log.New(io.Discard), Platform: s.platform(), Interval: time.Minute,
 		Sums: func() sums.Sums {
 			mu.Lock()
 			defer mu.Unlock()
@@ -92,7 +92,7 @@
 	}
 	f()
 	must.NoError(t, <-d)
-	r, err := k.Kept(context.Background(), func(string, uint64) bool { return false })
+	r, err := k.Load(context.Background(), func(string, uint64) bool { return false })
 	must.NoError(t, err)
 	var a uint64
 	for _, y := range r {
@@ -102,11 +102,11 @@
 	}
 	must.Eq(t, 7, a)
 	must.Len(t, 2, r)
-	r, err = k.Kept(context.Background(), func(h string, i uint64) bool { return h == "h" && i == 7 })
+	r, err = k.Load(context.Background(), func(h string, i uint64) bool { return h == "h" && i == 7 })
 	must.NoError(t, err)
 	must.SliceEmpty(t, r)
 	c.Advance(7 * time.Hour)
-	r, err = k.Kept(context.Background(), func(string, uint64) bool { return false })
+	r, err = k.Load(context.Background(), func(string, uint64) bool { return false })
 	must.NoError(t, err)
 	must.SliceEmpty(t, r)
 	must.SliceEmpty(t, s.table.Scan("burn/"))
--- a/lanes/fleet_test.go
+++ b/lanes/fleet_test.go
@@ -39,7 +39,7 @@
 	ctx, c := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(c)
 	f := &fleet.Fleet{
-		Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), HostsPerDomain: hosts, BackendsPerService: backends, Slots: 4, Work: work,
+		Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), HostsPerDomain: hosts, BackendsPerService: backends, Slots: 4, RequestDuration: work,
 		Config: config.Config{
 			Preset: "Ordinary",
 			Presets: []preset.Preset{{
@@ -135,7 +135,7 @@
 func TestSheds(t *testing.T) {
 	ctx, f := start(t, 1, 2, "south", 0)
 	must.NoError(t, f.Await(ctx, "an answer", func() bool { return answer(ctx, f, "n1-a") != "" }))
-	f.Backend("Pages-n1-1").Set(backendknobs.Backendknobs{Drain: true})
+	f.Backend("Pages-n1-1").SetFaults(backendknobs.Backendknobs{Drain: true})
 	for range 50 {
 		must.EqOp(t, "Pages-n1-2", answer(ctx, f, "n1-a"))
 	}
@@ -166,7 +166,7 @@
 	must.NoError(t, f.Await(ctx, "the free slot", func() bool { return b.Busy() == 0 }))
 	go send(ctx, d)
 	must.NoError(t, f.Await(ctx, "the second request", func() bool { return b.Busy() == 1 }))
-	f.Cut("n1", "n2")
+	f.Partition("n1", "n2")
 	must.EqOp(t, http.StatusBadGateway, <-d)
 	must.NoError(t, f.Await(ctx, "the free slot", func() bool { return b.Busy() == 0 }))
 }
--- a/lanes/lanes.go
+++ b/lanes/lanes.go
@@ -39,10 +39,10 @@
 	Slots func(b backend.Backend) int
 	// Borrowed takes a slot of a service that another host of the failure domain
 	// lent until at least the given time; nil disables borrowing.
-	Borrowed func(service string, until time.Time) (slot.Slot, bool)
+	AcquireBorrowed func(service string, until time.Time) (slot.Slot, bool)
 	// Drained is called when a backend server has drained, with the first sign
 	// of the drain and its duration.
-	Drained func(name, sign string, d time.Duration)
+	OnDrained func(name, sign string, d time.Duration)
 
 	sweptDomains atomic.Pointer[[]string]
 	mu           sync.Mutex
@@ -92,17 +92,17 @@
 }
 
 // Suspects returns the backend servers to probe.
-func (l *Lanes) Suspects() []backend.Backend {
+func (l *Lanes) ProbeTargets() []backend.Backend {
 	var r []backend.Backend
 	for _, v := range l.servicesWithBackends() {
-		r = append(r, l.serviceQueue(v.Name).balancer.Suspects()...)
+		r = append(r, l.serviceQueue(v.Name).balancer.ProbeTargets()...)
 	}
 	return r
 }
 
 // Probed handles the result of a probe.
-func (l *Lanes) Probed(b backend.Backend, h health.Health) {
-	l.serviceQueue(b.Service).balancer.Probed(b.Name, h)
+func (l *Lanes) HandleProbe(b backend.Backend, h health.Health) {
+	l.serviceQueue(b.Service).balancer.HandleProbe(b.Name, h)
 }
 
 // Lend closes a free slot of a service to lend it to another host of the
@@ -116,13 +116,13 @@
 }
 
 // Adopt returns a slot on a backend server that another host lent.
-func (l *Lanes) Adopt(service, backend string, free func()) (slot.Slot, bool) {
-	return l.serviceQueue(service).balancer.Adopt(backend, free)
+func (l *Lanes) BorrowedSlot(service, backend string, free func()) (slot.Slot, bool) {
+	return l.serviceQueue(service).balancer.BorrowedSlot(backend, free)
 }
 
 // Kick grants the free slots of a service to waiting requests.
-func (l *Lanes) Kick(service string) {
-	l.serviceQueue(service).queue.Kick()
+func (l *Lanes) GrantFree(service string) {
+	l.serviceQueue(service).queue.GrantFree()
 }
 
 // Committed returns how many slots of a backend server are busy or lent.
@@ -194,7 +194,7 @@
 	var n *serviceQueue
 	if v.SharedWith != "" && v.Deferrable {
 		o := l.getOrCreate(v.SharedWith, service.Service{})
-		n = &serviceQueue{queue: &queue.Queue{Ahead: o.queue}, balancer: o.balancer}
+		n = &serviceQueue{queue: &queue.Queue{Precedes: o.queue}, balancer: o.balancer}
 	} else {
 		n = l.newServiceQueue(k)
 	}
@@ -204,16 +204,16 @@
 
 func (l *Lanes) newServiceQueue(name string) *serviceQueue {
 	c := &backendCache{service: name, snapshot: l.Snapshot, domains: l.currentDomains}
-	b := &balancer.Balancer{Clock: l.Clock, Backends: c.get, Slots: l.Slots, Drained: l.Drained}
-	q := &queue.Queue{Clock: l.Clock, Acquire: b.Acquire, Limit: queueLimit, Patience: newestFirstAfter, Weight: l.weight}
+	b := &balancer.Balancer{Clock: l.Clock, Backends: c.get, Slots: l.Slots, OnDrained: l.OnDrained}
+	q := &queue.Queue{Clock: l.Clock, Acquire: b.Acquire, Limit: queueLimit, NewestFirstAfter: newestFirstAfter, Weight: l.weight}
 	q.Slots = func() int {
 		n, _ := b.Load()
 		return n
 	}
-	if l.Borrowed != nil {
-		q.Borrowed = func(t time.Time) (slot.Slot, bool) { return l.Borrowed(name, t) }
+	if l.AcquireBorrowed != nil {
+		q.AcquireBorrowed = func(t time.Time) (slot.Slot, bool) { return l.AcquireBorrowed(name, t) }
 	}
-	b.Released = q.Kick
+	b.OnReleased = q.GrantFree
 	return &serviceQueue{queue: q, balancer: b}
 }
 
--- a/latency/latency.go
+++ b/latency/latency.go
@@ -38,7 +38,7 @@
 // Publish publishes the summaries in expvar. It replaces a Latency published earlier
 // under the same name.
 func (l *Latency) Publish() {
-	metric.Metric{Name: l.Name}.Follow(l.summaries)
+	metric.Metric{Name: l.Name}.SetFunc(l.summaries)
 }
 
 // Observe counts one answered request.
--- a/loan/loan.go
+++ b/loan/loan.go
@@ -16,7 +16,7 @@
 )
 
 // Tries is the maximum number of lenders that are asked, one after another.
-const Tries = 3
+const MaxLenders = 3
 
 const (
 	// maxConcurrent is the number of borrow requests in progress, and of those queued.
@@ -36,14 +36,14 @@
 	// Clock measures the duration of loans.
 	Clock clockwork.Clock
 	// For is the duration of a loan.
-	For time.Duration
+	Duration time.Duration
 	// Self is the name of this host, which is sent as the borrower.
 	Self string
 	// Lenders returns the addresses of the hosts to borrow an account's tokens from,
 	// best first.
 	Lenders func(account string) []string
 	// Ask sends a borrow request to another host.
-	Ask func(ctx context.Context, address string, b *wire.BorrowRequest) (*wire.BorrowResponse, error)
+	Send func(ctx context.Context, address string, b *wire.BorrowRequest) (*wire.BorrowResponse, error)
 	// Received ends a borrow request. It takes the borrowed tokens, possibly none,
 	// which expire at until by Clock.
 	Received func(account string, asked, units uint64, until time.Time)
@@ -59,7 +59,7 @@
 
 // New returns a Loan that queues borrow requests from now on.
 func New(c clockwork.Clock, d time.Duration) *Loan {
-	return &Loan{Clock: c, For: d, requests: make(chan request, maxConcurrent)}
+	return &Loan{Clock: c, Duration: d, requests: make(chan request, maxConcurrent)}
 }
 
 // Borrow starts to borrow tokens. It never blocks.
@@ -101,7 +101,7 @@
 // tryLenders asks one lender after another, until one lends tokens.
 func (l *Loan) tryLenders(ctx context.Context, a request) {
 	p := l.Lenders(a.account)
-	for _, v := range p[:min(len(p), Tries)] {
+	for _, v := range p[:min(len(p), MaxLenders)] {
 		u, t := l.borrowFrom(ctx, v, a)
 		if u > 0 {
 			l.Received(a.account, a.units, u, t)
@@ -112,11 +112,11 @@
 }
 
 func (l *Loan) borrowFrom(ctx context.Context, address string, a request) (units uint64, until time.Time) {
-	x, f := clockwork.WithTimeout(ctx, l.Clock, l.For)
+	x, f := clockwork.WithTimeout(ctx, l.Clock, l.Duration)
 	defer f()
 	t := l.Clock.Now()
-	r, err := l.Ask(x, address, &wire.BorrowRequest{
-		Limit: division.RatePrefix + a.account, Units: a.units, Borrower: l.Self, ForNanoseconds: int64(l.For),
+	r, err := l.Send(x, address, &wire.BorrowRequest{
+		Limit: division.RatePrefix + a.account, Units: a.units, Borrower: l.Self, ForNanoseconds: int64(l.Duration),
 	})
 	if err != nil {
 		// If the response is lost, the tokens are lost. The lender regains the capacity
@@ -137,7 +137,7 @@
 			continue
 		}
 		p := d.Part(limit, h)
-		s := float64(span.Length(p.Floor)+span.Length(p.Leased))/span.Whole - demand[h.Name]
+		s := float64(span.Length(p.Floor)+span.Length(p.Leased))/span.FullLength - demand[h.Name]
 		if s <= 0 {
 			continue
 		}
--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -52,18 +52,18 @@
 	// Block returns the client block of an address and its nearest region.
 	Block func(a netip.Addr) (netip.Prefix, string, bool)
 	// Home is the region assumed for callers without a client block.
-	Home string
+	DefaultRegion string
 	// Lost reports whether no host of a region has sent a heartbeat for a
 	// long time.
 	Lost func(region string) bool
 	// Moved returns how many points of a lost region's callers are steered
 	// to other regions.
-	Moved func(service, region string) int
+	MovedPoints func(service, region string) int
 	// Last returns the last known hosts of a region, alive or not.
-	Last func(region string) []member.Member
+	LastKnownHosts func(region string) []member.Member
 	// Asked is called for each look-up, with the service and the caller's
 	// home region.
-	Asked func(service, home string)
+	OnLookup func(service, home string)
 	// Random returns a random number between 0 and 1, exclusive.
 	Random func() float64
 }
@@ -79,7 +79,7 @@
 		refusal.Write(w, o)
 		return
 	}
-	l.Asked(q.Get("service"), l.homeRegion(q.Get("region"), a))
+	l.OnLookup(q.Get("service"), l.homeRegion(q.Get("region"), a))
 	r, o := l.Find(q.Get("account"), q.Get("service"), q.Get("region"), a)
 	if o.Outcome != "" {
 		refusal.Write(w, o)
@@ -118,7 +118,7 @@
 	if region != "" && !s.HasRegion(region) {
 		return badRequest("region: there is no such region")
 	}
-	if _, ok := s.Named(service); service != "" && !ok {
+	if _, ok := s.ServiceByName(service); service != "" && !ok {
 		return badRequest("service: there is no such service")
 	}
 	return outcome.Outcome{}
@@ -132,7 +132,7 @@
 	p := l.Plan()
 	t := p.Route(service, h).Find(route.Point(service, b)).Region
 	m := l.Hosts()
-	if l.Lost(t) || l.Moved(service, t) > 0 {
+	if l.Lost(t) || l.MovedPoints(service, t) > 0 {
 		e, ok := l.failoverRegion(service, t, b, m)
 		if !ok {
 			return answer.Answer{}, l.refuseUntilMoved(t)
@@ -145,7 +145,7 @@
 		// No host of the region is alive at the moment, but its hosts
 		// may still be running: a region counts as lost only after a
 		// longer silence.
-		k = l.Last(t)
+		k = l.LastKnownHosts(t)
 	}
 	for _, v := range k {
 		r.EntryHosts = append(r.EntryHosts, v.CallerAddress)
@@ -181,16 +181,16 @@
 	}
 	p, err := a.Unmap().Prefix(n)
 	if err != nil {
-		return "", l.Home
+		return "", l.DefaultRegion
 	}
-	return p.String(), l.Home
+	return p.String(), l.DefaultRegion
 }
 
 // failoverRegion returns the region for a caller whose region is lost or
 // recovering. It reports false if the region is lost and the caller is not
 // among the callers moved so far.
 func (l *Lookup) failoverRegion(service, region, block string, o *roster.Roster) (string, bool) {
-	if route.Point("failover "+service, block) >= l.Moved(service, region) {
+	if route.Point("failover "+service, block) >= l.MovedPoints(service, region) {
 		return region, !l.Lost(region)
 	}
 	t, h := "", 0.0
@@ -210,7 +210,7 @@
 		Outcome: outcome.NoCapacity, Ran: outcome.RanNo, RetryAfter: time.Second,
 		Message: "the region is lost, and its callers are moved in steps",
 	}
-	for _, v := range l.Last(region) {
+	for _, v := range l.LastKnownHosts(region) {
 		o.EntryHosts = append(o.EntryHosts, v.CallerAddress)
 	}
 	if s := l.Snapshot(); s != nil {
--- a/lookup/lookup_test.go
+++ b/lookup/lookup_test.go
@@ -41,7 +41,7 @@
 	return &lookup.Lookup{
 		Snapshot: func() *snapshot.Snapshot { return s }, Plan: func() *plan.Plan { return w.Plan },
 		Hosts: func() *roster.Roster { return o },
-		Block: s.Block, Home: "lagos", Asked: func(string, string) {}, Random: func() float64 { return 0.5 },
+		Block: s.Block, DefaultRegion: "lagos", OnLookup: func(string, string) {}, Random: func() float64 { return 0.5 },
 		Lost: func(r string) bool {
 			for _, m := range w.Hosts {
 				if m.Region == r {
@@ -50,8 +50,8 @@
 			}
 			return true
 		},
-		Moved: func(_, r string) int { return w.Moved[r] },
-		Last: func(r string) []member.Member {
+		MovedPoints: func(_, r string) int { return w.Moved[r] },
+		LastKnownHosts: func(r string) []member.Member {
 			var l []member.Member
 			for _, m := range w.Gone {
 				if m.Region == r {
@@ -65,7 +65,7 @@
 
 // Each file holds the data of a host, look-ups, and their answers.
 func TestLookupAnswers(t *testing.T) {
-	golden.Play(t, func(t *testing.T, p [][]byte) string {
+	golden.Run(t, func(t *testing.T, p [][]byte) string {
 		var w hostState
 		must.NoError(t, codec.Unmarshal(p[0], &w))
 		l := w.lookup()
@@ -91,7 +91,7 @@
 		o[i] = regionOf(t, l, i)
 	}
 	r := route.New("Listings", "lagos").Shift("lagos", "region-2", 50_000)
-	w.Plan = w.Plan.With(r)
+	w.Plan = w.Plan.WithRoute(r)
 	m := 0
 	for i := range n {
 		if k := regionOf(t, l, i); k != o[i] {
@@ -100,7 +100,7 @@
 		}
 	}
 	must.Between(t, n*45/1000, m, n*55/1000)
-	w.Plan = w.Plan.With(r.Shift("region-2", "lagos", 50_000))
+	w.Plan = w.Plan.WithRoute(r.Shift("region-2", "lagos", 50_000))
 	for i := range n {
 		must.EqOp(t, o[i], regionOf(t, l, i))
 	}
--- a/membership/compact.go
+++ b/membership/compact.go
@@ -30,7 +30,7 @@
 		m.compact(h, p)
 	}
 	m.mu.Unlock()
-	m.Compose(h)
+	m.FillHeartbeat(h)
 	return h
 }
 
--- a/membership/compact_test.go
+++ b/membership/compact_test.go
@@ -72,7 +72,7 @@
 		exchange(false)
 		exchange(false)
 		exchange(false)
-		h, ok := b.Last("a")
+		h, ok := b.LastHeartbeat("a")
 		must.True(t, ok)
 		must.StrContains(t, fmt.Sprint(h.Known), "c:1")
 	})
@@ -100,7 +100,7 @@
 	m := make([]*membership.Membership, n)
 	for i := range m {
 		m[i] = newNamedMembership(c, fmt.Sprint("lagos-1-host-", i), 1<<63)
-		m[i].Compose = func(h *wire.Heartbeat) {
+		m[i].FillHeartbeat = func(h *wire.Heartbeat) {
 			for _, k := range []string{"Config", "Plan", "Division"} {
 				h.Versions = append(h.Versions, &wire.Version{Kind: k, Version: 1 << 16, Hash: "0123456789abcdef"})
 			}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -38,7 +38,7 @@
 	// Seeds are peer addresses to contact before any list of hosts is known.
 	Seeds []string
 	// Listed returns the platform's list of hosts.
-	Listed func(ctx context.Context) ([]member.Member, error)
+	ListHosts func(ctx context.Context) ([]member.Member, error)
 	// Partners selects the hosts to send heartbeats to; nil selects all hosts.
 	Partners func(self member.Member, all []member.Member, alive func(name string) bool) []member.Member
 	// Interval is the time between two heartbeats to a peer.
@@ -46,14 +46,14 @@
 	// Hold is the time without a heartbeat after which a peer counts as dead.
 	Hold time.Duration
 	// Beat sends a heartbeat to an address and returns the reply.
-	Beat func(ctx context.Context, address string, h *wire.Heartbeat) (*wire.Heartbeat, error)
+	SendHeartbeat func(ctx context.Context, address string, h *wire.Heartbeat) (*wire.Heartbeat, error)
 	// Compose adds this host's versions and loads to a heartbeat. If the heartbeat
 	// is full, it also adds data that may be slightly out of date.
-	Compose func(h *wire.Heartbeat)
+	FillHeartbeat func(h *wire.Heartbeat)
 	// Heard is called with each heartbeat and each reply received. For a reply,
 	// sent is when this host sent its heartbeat; for heartbeats sent by a peer, it
 	// is zero.
-	Heard func(h *wire.Heartbeat, sent time.Time)
+	OnHeartbeat func(h *wire.Heartbeat, sent time.Time)
 
 	mu       sync.Mutex
 	peers    map[string]*peer
@@ -100,7 +100,7 @@
 }
 
 // Hurry sends the next heartbeats at once, without waiting for the interval to end.
-func (m *Membership) Hurry() {
+func (m *Membership) SendSoon() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.sendNow != nil {
@@ -179,7 +179,7 @@
 }
 
 // Leaves reports whether a host is shutting down according to its latest heartbeat.
-func (m *Membership) Leaves(name string) bool {
+func (m *Membership) IsLeaving(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peers[name]
@@ -188,7 +188,7 @@
 
 // OnList reports whether the platform's list of hosts, when last read, contained a
 // process that was not shutting down.
-func (m *Membership) OnList(h holder.Holder) bool {
+func (m *Membership) IsListed(h holder.Holder) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, v := range m.listed {
@@ -200,7 +200,7 @@
 }
 
 // Last returns the latest heartbeat of a peer that is alive.
-func (m *Membership) Last(name string) (*wire.Heartbeat, bool) {
+func (m *Membership) LastHeartbeat(name string) (*wire.Heartbeat, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peers[name]
@@ -214,7 +214,7 @@
 func (m *Membership) pollHostList(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	for ctx.Err() == nil {
-		l, err := m.Listed(ctx)
+		l, err := m.ListHosts(ctx)
 		if err == nil {
 			m.setListed(l)
 		}
@@ -252,7 +252,7 @@
 		m.peers[v.Name] = p
 	}
 	m.mu.Unlock()
-	m.Heard(h, sent)
+	m.OnHeartbeat(h, sent)
 }
 
 // supersedes reports whether a heartbeat is newer than the last one of its host.
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -22,10 +22,10 @@
 func newMembership(c clockwork.Clock) *membership.Membership {
 	return &membership.Membership{
 		Clock: c, Log: log.New(io.Discard), Interval: interval, Hold: 3 * time.Second,
-		Self:    func() member.Member { return member.Member{Name: "self", PeerAddress: "self:1"} },
-		Listed:  func(context.Context) ([]member.Member, error) { return nil, nil },
-		Compose: func(*wire.Heartbeat) {},
-		Heard:   func(*wire.Heartbeat, time.Time) {},
+		Self:          func() member.Member { return member.Member{Name: "self", PeerAddress: "self:1"} },
+		ListHosts:     func(context.Context) ([]member.Member, error) { return nil, nil },
+		FillHeartbeat: func(*wire.Heartbeat) {},
+		OnHeartbeat:   func(*wire.Heartbeat, time.Time) {},
 	}
 }
 
@@ -41,7 +41,7 @@
 	m := newMembership(c)
 	m.Seeds = []string{"silent:1", "well:1"}
 	stuck, heard := make(chan struct{}), make(chan struct{})
-	m.Beat = func(ctx context.Context, address string, _ *wire.Heartbeat) (*wire.Heartbeat, error) {
+	m.SendHeartbeat = func(ctx context.Context, address string, _ *wire.Heartbeat) (*wire.Heartbeat, error) {
 		if address != "well:1" {
 			<-stuck
 			return nil, io.EOF
@@ -88,7 +88,7 @@
 	h.From.Leaving = true
 	m.Receive(h)
 	m.Receive(newHeartbeat("a", 1, 4))
-	must.True(t, m.Leaves("a"))
+	must.True(t, m.IsLeaving("a"))
 }
 
 // The platform's list contains a process that is leaving, and another incarnation
@@ -96,17 +96,17 @@
 func TestOnListChecksIncarnation(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	m := newMembership(c)
-	m.Listed = func(context.Context) ([]member.Member, error) {
+	m.ListHosts = func(context.Context) ([]member.Member, error) {
 		return []member.Member{{Name: "a", Incarnation: 2}, {Name: "b", Incarnation: 3, Leaving: true}}, nil
 	}
-	m.Beat = func(context.Context, string, *wire.Heartbeat) (*wire.Heartbeat, error) { return nil, io.EOF }
+	m.SendHeartbeat = func(context.Context, string, *wire.Heartbeat) (*wire.Heartbeat, error) { return nil, io.EOF }
 	x, f := context.WithCancel(t.Context())
 	d := make(chan error)
 	go func() { d <- m.Run(x) }()
 	must.NoError(t, c.BlockUntilContext(t.Context(), 2))
-	must.False(t, m.OnList(holder.Holder{Name: "a", Incarnation: 1}))
-	must.True(t, m.OnList(holder.Holder{Name: "a", Incarnation: 2}))
-	must.False(t, m.OnList(holder.Holder{Name: "b", Incarnation: 3}))
+	must.False(t, m.IsListed(holder.Holder{Name: "a", Incarnation: 1}))
+	must.True(t, m.IsListed(holder.Holder{Name: "a", Incarnation: 2}))
+	must.False(t, m.IsListed(holder.Holder{Name: "b", Incarnation: 3}))
 	f()
 	must.NoError(t, <-d)
 }
--- a/membership/notice_test.go
+++ b/membership/notice_test.go
@@ -26,7 +26,7 @@
 	m.Partners = func(_ member.Member, l []member.Member, _ func(string) bool) []member.Member {
 		return l[:1] // sorted by name, so this is a-near
 	}
-	m.Beat = func(context.Context, string, *wire.Heartbeat) (*wire.Heartbeat, error) { return nil, io.EOF }
+	m.SendHeartbeat = func(context.Context, string, *wire.Heartbeat) (*wire.Heartbeat, error) { return nil, io.EOF }
 	m.Receive(newHeartbeat("far", 1, 1))
 	m.Receive(newHeartbeat("a-near", 2, 1))
 	x, f := context.WithCancel(t.Context())
--- a/membership/talk.go
+++ b/membership/talk.go
@@ -67,7 +67,7 @@
 	x, f := clockwork.WithTimeout(ctx, m.Clock, m.Hold/exchangeTimeoutsPerHold)
 	defer f()
 	t := m.Clock.Now()
-	h, err := m.Beat(x, address, m.newHeartbeat(m.peerName(address)))
+	h, err := m.SendHeartbeat(x, address, m.newHeartbeat(m.peerName(address)))
 	if err == nil {
 		m.recordHeartbeat(h, t)
 	}
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -22,7 +22,7 @@
 
 // Served counts one request that was run or refused. The duration is that of a
 // successful answer.
-func (m *Meter) Served(service string, d time.Duration, failed bool) {
+func (m *Meter) CountRequest(service string, d time.Duration, failed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.loads == nil {
@@ -42,7 +42,7 @@
 }
 
 // Asked counts one look-up of a service by a caller whose home is a region.
-func (m *Meter) Asked(service, region string) {
+func (m *Meter) CountLookup(service, region string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.lookups == nil {
@@ -52,7 +52,7 @@
 }
 
 // Fill adds the counters to a heartbeat that already has its loads.
-func (m *Meter) Fill(h *wire.Heartbeat) {
+func (m *Meter) AddTo(h *wire.Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range h.Loads {
--- a/metric/metric.go
+++ b/metric/metric.go
@@ -38,7 +38,7 @@
 
 // Follow publishes the result of f, which is called at each read of the metric. A later
 // f replaces the previous one. A metric uses either Set or Follow, not both.
-func (m Metric) Follow(f func() any) {
+func (m Metric) SetFunc(f func() any) {
 	mutex.Lock()
 	defer mutex.Unlock()
 	if callbacks[m.Name] == nil {
--- a/metric/metric_test.go
+++ b/metric/metric_test.go
@@ -14,10 +14,10 @@
 func TestFollow(t *testing.T) {
 	n := 1
 	m := metric.Metric{Name: t.Name()}
-	m.Follow(func() any { return n })
+	m.SetFunc(func() any { return n })
 	must.EqOp(t, "1", expvar.Get(t.Name()).String())
 	n = 2
 	must.EqOp(t, "2", expvar.Get(t.Name()).String())
-	m.Follow(func() any { return nil })
+	m.SetFunc(func() any { return nil })
 	must.EqOp(t, "null", expvar.Get(t.Name()).String())
 }
--- a/mint/mint.go
+++ b/mint/mint.go
@@ -42,7 +42,7 @@
 		n = p
 	}
 	b, err := codec.Marshal(tickets.Tickets{
-		Tickets: m.Ticket.Mint(c.Account, n), EntryHost: m.EntryHost, Lifetime: m.Ticket.Lifetime,
+		Tickets: m.Ticket.Issue(c.Account, n), EntryHost: m.EntryHost, Lifetime: m.Ticket.Lifetime,
 	})
 	if err != nil {
 		panic(err) // Tickets always encode as JSON
--- a/mirror/feed.go
+++ b/mirror/feed.go
@@ -67,11 +67,11 @@
 	if d {
 		return m.probe(ctx)
 	}
-	w := m.Wait()
+	w := m.LongPollTimeout()
 	x, f := deadline.With(ctx, m.Clock, w+feedTimeoutMargin)
 	defer f()
 	var a response
-	if m.Store == nil {
+	if m.StoreFreshness == nil {
 		a.rows, a.version, a.err = m.Feed(x, n, w)
 	} else {
 		a.rows, a.version, a.err = m.longPoll(x, n, w)
@@ -105,7 +105,7 @@
 func (m *Mirror) watchLongPoll(ctx context.Context, cancel context.CancelFunc, hints <-chan struct{}, done chan<- bool) {
 	c, ok := m.awaitAbortCause(ctx, hints)
 	if ok {
-		m.Log.Info("store asked again", "Table", m.Name, "Cause", c, "StoreAge", time.Duration(m.Store.Age()))
+		m.Log.Info("store asked again", "Table", m.Name, "Cause", c, "StoreAge", time.Duration(m.StoreFreshness.Age()))
 		cancel()
 	}
 	done <- ok
@@ -121,8 +121,8 @@
 			return "", false
 		case <-hints:
 			return "another host has a change", m.sleep(ctx, updateHintDelay)
-		case <-m.Clock.After(m.Store.Left(m.Trust)):
-			if m.Store.Left(m.Trust) <= 0 {
+		case <-m.Clock.After(m.StoreFreshness.Remaining(m.StoreTimeout)):
+			if m.StoreFreshness.Remaining(m.StoreTimeout) <= 0 {
 				return "the store has answered no host", true
 			}
 		}
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -58,12 +58,12 @@
 	Feed func(ctx context.Context, after uint64, wait time.Duration) ([]row.Row, uint64, error)
 	// Renew closes idle connections to the store. If a call gets no response, the
 	// idle connections may be dead as well. Nil keeps them open.
-	Renew func()
+	CloseIdle func()
 	// Wait returns the maximum duration of one long poll with Feed.
-	Wait func() time.Duration
+	LongPollTimeout func() time.Duration
 	// Reply is how long a call that does not wait, or a read of the full table, may
 	// take before another call is made in parallel.
-	Reply time.Duration
+	ReplyTimeout time.Duration
 	// Store records when the store last answered any host that follows this table.
 	// In an outage of the store a long poll may be lost without an error, which
 	// only the passing of time reveals. When the store has answered no host for
@@ -71,13 +71,13 @@
 	// Answers on other tables do not count: after a short outage their calls may
 	// work while all calls for this table are lost. If Store is nil, long polls are
 	// never aborted early.
-	Store *freshness.Freshness
+	StoreFreshness *freshness.Freshness
 	// Trust is how long the store may answer no host before long polls are aborted.
-	Trust time.Duration
+	StoreTimeout time.Duration
 	// Changed receives all rows by key after each change. Shortly after an outage
 	// of the store, rows may be missing that are written again before
 	// incompleteUntil. Changed must not keep the map. It may call the mirror.
-	Changed func(rows map[string]row.Row, incompleteUntil time.Time)
+	OnChange func(rows map[string]row.Row, incompleteUntil time.Time)
 
 	// notifyMu keeps the calls of Changed in order. It is separate from mu because
 	// Changed may call methods that lock mu.
@@ -167,7 +167,7 @@
 // transferring the full table would only cost bandwidth. If the change does not
 // arrive within directUpdateTimeout, the store has probably stopped responding
 // without an error.
-func (m *Mirror) Wants(version uint64) bool {
+func (m *Mirror) NeedsPeerCopy(version uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if version <= m.tableVersion {
@@ -257,7 +257,7 @@
 	m.rows = c
 	d := m.incompleteUntil
 	m.mu.Unlock()
-	m.Changed(c, d)
+	m.OnChange(c, d)
 }
 
 // replace replaces the copy by a full table. Rows may be missing from it for the
@@ -283,7 +283,7 @@
 	}
 	d := m.incompleteUntil
 	m.mu.Unlock()
-	m.Changed(c, d)
+	m.OnChange(c, d)
 }
 
 // recentlyUnreachable reports whether the store is unreachable from this host or
@@ -297,8 +297,8 @@
 // markReachable records that the store answered. The first answer after an outage
 // already counts as possibly incomplete.
 func (m *Mirror) markReachable() {
-	if m.Store != nil {
-		m.Store.Seen()
+	if m.StoreFreshness != nil {
+		m.StoreFreshness.RecordContact()
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -25,7 +25,7 @@
 	ctx, f := context.WithCancel(context.Background())
 	notified := make(chan int, 2)
 	m := &mirror.Mirror{
-		Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), Name: "Backends", Wait: hour, Reply: time.Minute,
+		Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), Name: "Backends", LongPollTimeout: hour, ReplyTimeout: time.Minute,
 		Read: func(context.Context) ([]row.Row, uint64, error) {
 			return []row.Row{{Key: "a", Version: 1}, {Key: "b", Version: 1}}, 1, nil
 		},
@@ -37,7 +37,7 @@
 		<-ctx.Done()
 		return nil, 0, ctx.Err()
 	}
-	m.Changed = func(r map[string]row.Row, incompleteUntil time.Time) {
+	m.OnChange = func(r map[string]row.Row, incompleteUntil time.Time) {
 		must.True(t, incompleteUntil.IsZero())
 		must.Positive(t, m.Version())
 		must.False(t, m.Behind(m.Version()))
@@ -72,8 +72,8 @@
 	must.NoError(t, err)
 	var incompleteUntil time.Time
 	m := &mirror.Mirror{
-		Clock: k, Log: log.New(io.Discard), Name: "Backends", Wait: hour, Reply: time.Minute,
-		Changed: func(_ map[string]row.Row, d time.Time) { incompleteUntil = d },
+		Clock: k, Log: log.New(io.Discard), Name: "Backends", LongPollTimeout: hour, ReplyTimeout: time.Minute,
+		OnChange: func(_ map[string]row.Row, d time.Time) { incompleteUntil = d },
 		Read: func(context.Context) ([]row.Row, uint64, error) {
 			return nil, 0, io.EOF
 		},
@@ -103,10 +103,10 @@
 func testWantsCopyAfterTimeout(t *testing.T) {
 	k := clockwork.NewFakeClock()
 	m := &mirror.Mirror{
-		Clock: k, Log: log.New(io.Discard), Name: "Config", Wait: hour, Reply: time.Minute, Changed: func(map[string]row.Row, time.Time) {},
+		Clock: k, Log: log.New(io.Discard), Name: "Config", LongPollTimeout: hour, ReplyTimeout: time.Minute, OnChange: func(map[string]row.Row, time.Time) {},
 		Read: func(context.Context) ([]row.Row, uint64, error) { return []row.Row{{Key: "a", Version: 3}}, 9, nil },
 	}
-	must.True(t, m.Wants(1)) // the mirror is still empty
+	must.True(t, m.NeedsPeerCopy(1)) // the mirror is still empty
 	feeds := make(chan struct{}, 1)
 	m.Feed = func(ctx context.Context, _ uint64, _ time.Duration) ([]row.Row, uint64, error) {
 		feeds <- struct{}{}
@@ -120,10 +120,10 @@
 	k.Advance(time.Second)
 	<-feeds
 	must.EqOp(t, 3, m.Version())
-	must.False(t, m.Wants(9))
-	must.False(t, m.Wants(10))
+	must.False(t, m.NeedsPeerCopy(9))
+	must.False(t, m.NeedsPeerCopy(10))
 	k.Advance(time.Second)
-	must.True(t, m.Wants(10))
+	must.True(t, m.NeedsPeerCopy(10))
 	f()
 	must.NoError(t, <-d)
 }
@@ -137,7 +137,7 @@
 func testEmptyStoreIsReadWithDelays(t *testing.T) {
 	reads := 0
 	m := &mirror.Mirror{
-		Clock: clockwork.NewFakeClock(), Log: log.New(io.Discard), Name: "Config", Wait: hour, Reply: time.Minute, Changed: func(map[string]row.Row, time.Time) {},
+		Clock: clockwork.NewFakeClock(), Log: log.New(io.Discard), Name: "Config", LongPollTimeout: hour, ReplyTimeout: time.Minute, OnChange: func(map[string]row.Row, time.Time) {},
 		Read: func(ctx context.Context) ([]row.Row, uint64, error) {
 			if reads++; reads > 1 {
 				<-ctx.Done()
--- a/mirror/probe.go
+++ b/mirror/probe.go
@@ -43,11 +43,11 @@
 				m.markUnreachable(errCallTimeout)
 			}
 			o++
-			if m.Renew != nil {
-				m.Renew()
+			if m.CloseIdle != nil {
+				m.CloseIdle()
 			}
 			go func() { c <- m.fetchNow(x) }()
-			t = m.Clock.After(m.Reply + p)
+			t = m.Clock.After(m.ReplyTimeout + p)
 			p = min(2*p, maxRetryDelay)
 		}
 	}
@@ -60,7 +60,7 @@
 	n := m.tableVersion
 	a := response{fullTable: n == 0 || m.needsFullRead}
 	m.mu.Unlock()
-	x, f := deadline.With(ctx, m.Clock, callTimeoutFactor*m.Reply)
+	x, f := deadline.With(ctx, m.Clock, callTimeoutFactor*m.ReplyTimeout)
 	defer f()
 	if a.fullTable {
 		a.rows, a.version, a.err = m.Read(x)
--- a/mirror/silence_test.go
+++ b/mirror/silence_test.go
@@ -65,12 +65,12 @@
 			w = trustPeriod - heartbeatInterval - 200*time.Millisecond
 		}
 		m := &mirror.Mirror{
-			Clock: c, Log: log.New(io.Discard), Name: "Config", Wait: func() time.Duration { return w },
-			Reply: recoveryDeadline / 3, Trust: trustPeriod, Changed: func(map[string]row.Row, time.Time) {},
+			Clock: c, Log: log.New(io.Discard), Name: "Config", LongPollTimeout: func() time.Duration { return w },
+			ReplyTimeout: recoveryDeadline / 3, StoreTimeout: trustPeriod, OnChange: func(map[string]row.Row, time.Time) {},
 		}
 		f.fresh = append(f.fresh, &freshness.Freshness{Clock: c})
 		if abortLongPolls {
-			m.Store = f.fresh[i]
+			m.StoreFreshness = f.fresh[i]
 		}
 		m.Feed = func(ctx context.Context, after uint64, wait time.Duration) ([]row.Row, uint64, error) {
 			return f.store.Feed(ctx, fmt.Sprint(i), after, wait)
@@ -104,8 +104,8 @@
 			if j == i || f.isolated {
 				continue
 			}
-			f.fresh[j].Heard(f.fresh[i].Own())
-			if m.Wants(f.mirrors[i].Version()) {
+			f.fresh[j].RecordRemoteAge(f.fresh[i].OwnAge())
+			if m.NeedsPeerCopy(f.mirrors[i].Version()) {
 				_, b, err := f.mirrors[i].Content()
 				if err == nil {
 					err = m.Adopt(b)
@@ -181,7 +181,7 @@
 	q, b := newFleet(n, true), newFleet(n, true)
 	if sharedFreshness {
 		for i, m := range q.mirrors {
-			m.Store = b.fresh[i]
+			m.StoreFreshness = b.fresh[i]
 		}
 		q.fresh = b.fresh
 	}
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -40,23 +40,23 @@
 	// Change commits configurations.
 	Change *change.Change
 	// Check returns all mistakes in a configuration.
-	Check func(c *config.Config) []string
+	Validate func(c *config.Config) []string
 	// Status returns the state known to this host.
 	Status func(ctx context.Context) status.Status
 	// Sums returns this host's counts for the burn report.
 	Sums func() sums.Sums
 	// Kept returns the counts of processes that no longer run, as stored on the
 	// platform.
-	Kept func(ctx context.Context) ([]sums.Sums, error)
+	StoredSums func(ctx context.Context) ([]sums.Sums, error)
 	// Why explains the result of a look-up.
-	Why func(account, service, region string, a netip.Addr) why.Why
+	ExplainLookup func(account, service, region string, a netip.Addr) why.Why
 }
 
 // ServeHTTP authenticates and serves one request.
 func (o *Operator) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s := o.Snapshot()
 	if s == nil {
-		writeProblem(w, http.StatusServiceUnavailable, problem.Unconfigured, "this host has no configuration yet")
+		writeProblem(w, http.StatusServiceUnavailable, problem.NotConfigured, "this host has no configuration yet")
 		return
 	}
 	if !authorized(s, r) {
@@ -118,9 +118,9 @@
 		writeProblem(w, http.StatusBadRequest, problem.BadRequest, err.Error())
 		return
 	}
-	if m := o.Check(&c); len(m) > 0 {
+	if m := o.Validate(&c); len(m) > 0 {
 		writeJSON(w, http.StatusUnprocessableEntity, &problem.Problem{
-			Problem: problem.Mistaken, Message: "the configuration has mistakes; nothing was changed", Mistakes: m,
+			Problem: problem.InvalidConfig, Message: "the configuration has mistakes; nothing was changed", Mistakes: m,
 		})
 		return
 	}
@@ -131,7 +131,7 @@
 	a, ok, err := o.Change.Commit(r.Context(), from, c)
 	switch {
 	case err != nil:
-		writeProblem(w, http.StatusBadGateway, problem.Unknown, err.Error())
+		writeProblem(w, http.StatusBadGateway, problem.OutcomeUnknown, err.Error())
 	case !ok:
 		x := o.Change.Explain(r.Context(), from, c, a)
 		writeJSON(w, http.StatusConflict, &problem.Problem{
@@ -155,13 +155,13 @@
 		}
 		a = p
 	}
-	writeJSON(w, http.StatusOK, o.Why(q.Get("account"), q.Get("service"), q.Get("region"), a))
+	writeJSON(w, http.StatusOK, o.ExplainLookup(q.Get("account"), q.Get("service"), q.Get("region"), a))
 }
 
 func (o *Operator) keptSums(w http.ResponseWriter, r *http.Request) {
-	k, err := o.Kept(r.Context())
+	k, err := o.StoredSums(r.Context())
 	if err != nil {
-		writeProblem(w, http.StatusBadGateway, problem.Unknown, err.Error())
+		writeProblem(w, http.StatusBadGateway, problem.OutcomeUnknown, err.Error())
 		return
 	}
 	writeJSON(w, http.StatusOK, k)
--- a/operatorclient/operatorclient.go
+++ b/operatorclient/operatorclient.go
@@ -37,14 +37,14 @@
 }
 
 // Former returns an earlier version, if the host still holds it in its history.
-func (o *Operatorclient) Former(ctx context.Context, version uint64) (*config.Config, error) {
+func (o *Operatorclient) ConfigVersion(ctx context.Context, version uint64) (*config.Config, error) {
 	c := new(config.Config)
 	return c, o.call(ctx, http.MethodGet, "/config?version="+strconv.FormatUint(version, 10), nil, c)
 }
 
 // Change commits c as the successor of version from. A conflict or an invalid
 // configuration is returned as a *problem.Problem.
-func (o *Operatorclient) Change(ctx context.Context, from uint64, c *config.Config) (accepted.Accepted, error) {
+func (o *Operatorclient) CommitConfig(ctx context.Context, from uint64, c *config.Config) (accepted.Accepted, error) {
 	var a accepted.Accepted
 	err := o.call(ctx, http.MethodPut, "/config?from="+strconv.FormatUint(from, 10), c, &a)
 	return a, err
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -19,13 +19,13 @@
 type Outlier struct {
 	// Consecutive is the number of failures in a row after which a backend server is
 	// ejected.
-	Consecutive int
+	MaxConsecutive int
 	// For is the duration of a first ejection. It doubles with each further ejection
 	// until the failure ratio has fallen to a tenth of maxFailureRatio.
-	For time.Duration
+	Ejection time.Duration
 	// Fraction is the greatest fraction of the backend servers that is ejected at a
 	// time.
-	Fraction float64
+	MaxFraction float64
 
 	servers map[string]*server
 }
@@ -53,16 +53,16 @@
 	s := o.server(name)
 	s.consecutiveFailures++
 	s.failureRatio += ratioSmoothing * (1 - s.failureRatio)
-	if s.ejectedUntil.After(now) || s.consecutiveFailures < o.Consecutive && s.failureRatio < maxFailureRatio {
+	if s.ejectedUntil.After(now) || s.consecutiveFailures < o.MaxConsecutive && s.failureRatio < maxFailureRatio {
 		return time.Time{}, false
 	}
-	if float64(o.countEjected(names, now)+1) > o.Fraction*float64(len(names)) {
+	if float64(o.countEjected(names, now)+1) > o.MaxFraction*float64(len(names)) {
 		return time.Time{}, false
 	}
-	s.ejectedUntil = now.Add(o.For << min(s.ejections, maxDoublings))
+	s.ejectedUntil = now.Add(o.Ejection << min(s.ejections, maxDoublings))
 	s.ejections++
 	// After the ejection, fewer failures in a row are enough to eject it again.
-	s.consecutiveFailures = o.Consecutive / 2
+	s.consecutiveFailures = o.MaxConsecutive / 2
 	s.failureRatio = 0
 	return s.ejectedUntil, true
 }
--- a/partners/partners.go
+++ b/partners/partners.go
@@ -18,7 +18,7 @@
 // new hosts. The number of heartbeats then grows with the hosts of a region and not
 // with the square of all hosts. Hosts that are alive come first. Each host prefers
 // different ones, so that no host is the partner of all others.
-func Partners(self member.Member, all []member.Member, alive func(name string) bool) []member.Member {
+func Select(self member.Member, all []member.Member, alive func(name string) bool) []member.Member {
 	var l []member.Member
 	f := make(map[string][]member.Member)
 	for _, m := range all {
--- a/peerserver/peerserver.go
+++ b/peerserver/peerserver.go
@@ -17,7 +17,7 @@
 	// Listener accepts connections of other hosts. Run closes it.
 	Listener net.Listener
 	// OnBeat handles heartbeats.
-	OnBeat func(h *wire.Heartbeat) *wire.Heartbeat
+	OnHeartbeat func(h *wire.Heartbeat) *wire.Heartbeat
 	// OnFetch handles requests for newer content.
 	OnFetch func(f *wire.FetchRequest) *wire.FetchResponse
 	// OnBorrow handles requests for loans of tokens or slots.
@@ -48,7 +48,7 @@
 
 // Beat handles a heartbeat.
 func (p *Peerserver) Beat(_ context.Context, h *wire.Heartbeat) (*wire.Heartbeat, error) {
-	return p.OnBeat(h), nil
+	return p.OnHeartbeat(h), nil
 }
 
 // Fetch handles a request for newer content.
--- a/permits/allocation.go
+++ b/permits/allocation.go
@@ -198,5 +198,5 @@
 	if from == to {
 		return 1
 	}
-	return p.Far
+	return p.RemoteWeight
 }
--- a/permits/bench_test.go
+++ b/permits/bench_test.go
@@ -12,7 +12,7 @@
 	f := newFleet(82, 3, 9.8)
 	q := &wire.PermitRequest{Backend: "c1", Service: "listings", Domain: "domain-0", Region: "region-0"}
 	for b.Loop() {
-		f.hosts[0].Give(q)
+		f.hosts[0].HandleRequest(q)
 	}
 }
 
@@ -25,7 +25,7 @@
 			q := &wire.PermitRequest{Backend: "c1", Service: "listings", Domain: "domain-0", Region: "region-0"}
 			for b.Loop() {
 				f.hosts[0].allocations = nil
-				f.hosts[0].Give(q)
+				f.hosts[0].HandleRequest(q)
 			}
 		})
 	}
