--- a/permits/permits.go
+++ b/permits/permits.go
@@ -40,14 +40,14 @@
 	Self member.Member
 	// Begun is when this process started. The grants of the process before it are
 	// unknown.
-	Begun time.Time
+	Started time.Time
 	// Hosts returns all hosts that may send requests, including this one, or none until
 	// they are known.
 	Hosts func() []member.Member
 	// Slots returns the slots of a service by region, and Far is the weight that
 	// placement gives to slots in another region.
-	Slots func(service string) map[string]int
-	Far   float64
+	Slots        func(service string) map[string]int
+	RemoteWeight float64
 	// Rate returns how many requests per second a backend server of a service can
 	// handle.
 	Rate func(service string) float64
@@ -55,7 +55,7 @@
 	// second.
 	Overage, Slack float64
 	// Ask sends a permit request to another host.
-	Ask func(ctx context.Context, address string, q *wire.PermitRequest) (*wire.PermitResponse, error)
+	Request func(ctx context.Context, address string, q *wire.PermitRequest) (*wire.PermitResponse, error)
 
 	mu               sync.Mutex
 	grants           map[string][]time.Time // times of the latest grants, by backend server
@@ -99,7 +99,7 @@
 }
 
 // Give handles a permit request of another host.
-func (p *Permits) Give(q *wire.PermitRequest) *wire.PermitResponse {
+func (p *Permits) HandleRequest(q *wire.PermitRequest) *wire.PermitResponse {
 	d, ok := p.grant(q)
 	return &wire.PermitResponse{Granted: ok, AgainNanoseconds: int64(d)}
 }
@@ -121,7 +121,7 @@
 	}
 	x, f := deadline.With(ctx, p.Clock, askTimeout)
 	defer f()
-	r, err := p.Ask(x, h.PeerAddress, q)
+	r, err := p.Request(x, h.PeerAddress, q)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := p.Clock.Now()
@@ -153,7 +153,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := p.Clock.Now()
-	if d := p.Begun.Add(window).Sub(n); d > 0 {
+	if d := p.Started.Add(window).Sub(n); d > 0 {
 		return d, false
 	}
 	k := p.allocate(q).quota
--- a/permits/permits_test.go
+++ b/permits/permits_test.go
@@ -58,19 +58,19 @@
 // newHost returns a new process of a host.
 func (f *fleet) newHost(m member.Member) *Permits {
 	return &Permits{
-		Clock: f.clock, Log: log.New(io.Discard), Self: m, Begun: f.clock.Now(),
-		Hosts: func() []member.Member { return f.members }, Far: 0.15,
+		Clock: f.clock, Log: log.New(io.Discard), Self: m, Started: f.clock.Now(),
+		Hosts: func() []member.Member { return f.members }, RemoteWeight: 0.15,
 		Slots:   func(string) map[string]int { return map[string]int{"region-0": 12, "region-1": 36, "region-2": 36} },
 		Rate:    func(string) float64 { return f.rate },
 		Overage: overage, Slack: slack,
-		Ask: func(ctx context.Context, a string, q *wire.PermitRequest) (*wire.PermitResponse, error) {
+		Request: func(ctx context.Context, a string, q *wire.PermitRequest) (*wire.PermitResponse, error) {
 			f.asks++
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
 			}
 			for i, v := range f.members {
 				if v.PeerAddress == a && !f.partitioned(m.Name, v.Name) {
-					return f.hosts[i].Give(q), nil
+					return f.hosts[i].HandleRequest(q), nil
 				}
 			}
 			return nil, errors.New("no answer")
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -22,9 +22,9 @@
 	for _, n := range []int{12, 40, 120} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := &placement.Placement{
-				Clock: clockwork.NewRealClock(), Region: "region-0", Far: 0.15,
-				Rate: func(string) (float64, time.Duration) { return 10, 3 * time.Second },
-				Pace: &coldpace.Coldpace{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 2, Slack: 5},
+				Clock: clockwork.NewRealClock(), Region: "region-0", RemoteWeight: 0.15,
+				ColdCapacity: func(string) (float64, time.Duration) { return 10, 3 * time.Second },
+				ColdRate:     &coldpace.Coldpace{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 2, Slack: 5},
 			}
 			var l []backend.Backend
 			for i := range n {
@@ -38,7 +38,7 @@
 					ID: fmt.Sprint(i), Object: fmt.Sprint(i % 200), Route: "view",
 					Service: service.Service{Name: "listings"}, Tried: new(tried.Tried),
 				}
-				p.Count(r)
+				p.CountArrival(r)
 				if v, ok, _ := p.Take(r); ok {
 					p.Release(v.Name, r, result.Succeeded)
 				}
--- a/placement/choice.go
+++ b/placement/choice.go
@@ -93,7 +93,7 @@
 // candidates cache the object, at the price of two late answers.
 func (p *Placement) loadThreshold(position int, uncached bool) float64 {
 	switch {
-	case p.Eager, position == 0 && uncached:
+	case p.IgnoreCache, position == 0 && uncached:
 		return 1
 	case position == 0:
 		return lowLoad
@@ -109,7 +109,7 @@
 // cache the objects again, with one request each.
 func (p *Placement) admits(s *server, r *request.Request, now time.Time) bool {
 	n, l := float64(s.backend.Slots), s.load(now)
-	return l < n || (p.Eager || s.hasCached(r)) && (l+1)/n <= 1+p.queueLimit(r.Priority)
+	return l < n || (p.IgnoreCache || s.hasCached(r)) && (l+1)/n <= 1+p.queueLimit(r.Priority)
 }
 
 // completion estimates the time until r is done, in units of the duration of a request
@@ -131,8 +131,8 @@
 }
 
 func (p *Placement) queueLimit(priority int) float64 {
-	if p.Line != nil {
-		return p.Line(priority)
+	if p.QueueLimit != nil {
+		return p.QueueLimit(priority)
 	}
 	return defaultQueueLimit(priority)
 }
--- a/placement/move_test.go
+++ b/placement/move_test.go
@@ -42,9 +42,9 @@
 func TestServerChangeMovesOnlyItsObjects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &placement.Placement{
-			Clock: clockwork.NewFakeClock(), Region: "region-0", Far: 0.15,
-			Rate: func(string) (float64, time.Duration) { return 1, 0 },
-			Pace: &coldpace.Coldpace{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 1, Slack: 100},
+			Clock: clockwork.NewFakeClock(), Region: "region-0", RemoteWeight: 0.15,
+			ColdCapacity: func(string) (float64, time.Duration) { return 1, 0 },
+			ColdRate:     &coldpace.Coldpace{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 1, Slack: 100},
 		}
 		var l []backend.Backend
 		for i := range rapid.IntRange(2, 12).Draw(t, "servers") {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -49,24 +49,24 @@
 	// Far is the weight of a backend server in another region, relative to one
 	// in this region. With a low weight most objects stay in the region, and a
 	// region with few backend servers hands a fixed part of its objects to others.
-	Far float64
+	RemoteWeight float64
 	// Spread is the number of backend servers that may serve an object at a time;
 	// zero means 2. When they are full, requests for the object are refused: any
 	// other backend server would need several times the work and soon be full too.
 	Spread int
 	// Eager takes the first free slot and lets requests queue anywhere, regardless
 	// of cached objects. It serves as a baseline in simulations.
-	Eager bool
+	IgnoreCache bool
 	// Line returns how many requests of a priority may queue for each slot of a
 	// backend server; nil means 1.2 for priority 0, 0.8 for 1 and 0.45 for others.
-	Line func(priority int) float64
+	QueueLimit func(priority int) float64
 	// Pace computes this host's part of the rate that a cold backend server can handle.
-	Pace *coldpace.Coldpace
+	ColdRate *coldpace.Coldpace
 	// Limit enforces the rate limits that backend servers announce; nil means no limits.
 	Limit *backendlimit.Backendlimit
 	// Rate returns the rate that a cold backend server of a service can handle, in
 	// requests per second, and how long it stays cold after its start.
-	Rate func(service string) (perSecond float64, warmUp time.Duration)
+	ColdCapacity func(service string) (perSecond float64, warmUp time.Duration)
 
 	mu             sync.Mutex
 	servers        map[string]*server
@@ -119,7 +119,7 @@
 // binding state of g; the state is empty if g is nil.
 func (g *pool) withoutServers() *pool {
 	if g == nil {
-		return &pool{outlier: outlier.Outlier{Consecutive: consecutiveFailures, For: firstEjection, Fraction: maxEjectedFraction}}
+		return &pool{outlier: outlier.Outlier{MaxConsecutive: consecutiveFailures, Ejection: firstEjection, MaxFraction: maxEjectedFraction}}
 	}
 	return &pool{outlier: g.outlier, binding: g.binding}
 }
@@ -134,7 +134,7 @@
 
 // updateBinding passes the slots of each region to the binding.
 func (g *pool) updateBinding() {
-	g.binding.Fit(g.slots())
+	g.binding.SetSlots(g.slots())
 }
 
 // slots returns the slots of the service by region.
@@ -159,11 +159,11 @@
 
 // Count records the arrival of a request. It is called once for each request, however
 // often the request is queued or retried.
-func (p *Placement) Count(r *request.Request) {
+func (p *Placement) CountArrival(r *request.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if g := p.pools[r.Service.Name]; g != nil {
-		g.binding.Count(r.Homes, p.Clock.Now())
+		g.binding.Count(r.AllowsRegion, p.Clock.Now())
 	}
 }
 
@@ -188,14 +188,14 @@
 	s.add(r, n, !s.hasCached(r))
 	s.addObject(r)
 	if p.Limit != nil {
-		p.Limit.Spend(s.backend)
+		p.Limit.RecordSent(s.backend)
 	}
 	return s.backend, true, false
 }
 
 // Again returns the time until the first preferred backend server of r may be sent a
 // request again under its rate limit or permit; zero if neither delays r.
-func (p *Placement) Again(r *request.Request) time.Duration {
+func (p *Placement) RetryAfter(r *request.Request) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	g := p.pools[r.Service.Name]
@@ -207,7 +207,7 @@
 	for _, c := range p.preferred(p.candidates(g, r, n)) {
 		u := c.server.deniedUntil.Sub(n)
 		if p.Limit != nil {
-			u = max(u, p.Limit.Until(c.server.backend))
+			u = max(u, p.Limit.RetryAfter(c.server.backend))
 		}
 		if u > 0 && (d == 0 || u < d) {
 			d = u
@@ -277,7 +277,7 @@
 	if r == result.Succeeded {
 		p.updateRouteDuration(route, d)
 	}
-	if (r == result.Succeeded || r == result.Canceled) && !p.Eager {
+	if (r == result.Succeeded || r == result.Canceled) && !p.IgnoreCache {
 		s.updateDuration(d)
 	}
 }
@@ -299,7 +299,7 @@
 		p.recordFailure(g, s, now)
 		if r == result.Refused {
 			// It may be restarting and will then be cold.
-			_, w := p.Rate(s.backend.Service)
+			_, w := p.ColdCapacity(s.backend.Service)
 			s.coldUntil = deadline.Later(s.coldUntil, now.Add(w+firstEjection))
 		}
 	case result.Canceled, result.Unused:
@@ -316,7 +316,7 @@
 // candidates returns the backend servers that may serve r, most preferred first by the
 // rendezvous score of its object.
 func (p *Placement) candidates(g *pool, r *request.Request, now time.Time) []candidate {
-	q, _ := p.Rate(r.Service.Name)
+	q, _ := p.ColdCapacity(r.Service.Name)
 	k := r.Service.Name + "\x00" + r.Object
 	if r.Object == "" {
 		k = r.ID
@@ -324,17 +324,17 @@
 	var c []candidate
 	for _, s := range g.servers {
 		b := s.backend
-		if r.Homes != nil && !r.Homes(b.Region) || r.Tried.Has(b.Name) {
+		if r.AllowsRegion != nil && !r.AllowsRegion(b.Region) || r.Tried.Has(b.Name) {
 			continue
 		}
-		w := float64(b.Slots) * g.binding.Left(b.Region)
+		w := float64(b.Slots) * g.binding.Available(b.Region)
 		if b.Region != p.Region {
-			w *= p.Far
+			w *= p.RemoteWeight
 		}
 		c = append(c, candidate{
 			server: s, score: rendezvous.Score(k, b.Name, w),
 			denied: s.deniedUntil.After(now),
-			unavailable: g.outlier.Ejected(b.Name, now) || s.deniedUntil.After(now) || s.coldUntil.After(now) && !s.withinColdRate(p.Pace.Part(b.Name, q), now) ||
+			unavailable: g.outlier.Ejected(b.Name, now) || s.deniedUntil.After(now) || s.coldUntil.After(now) && !s.withinColdRate(p.ColdRate.Share(b.Name, q), now) ||
 				p.Limit != nil && !p.Limit.Allow(b),
 		})
 	}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -54,8 +54,8 @@
 				requests: make(map[string]*request.Request), placedAt: make(map[string]string),
 			}
 			w.placement = &placement.Placement{
-				Clock: w.clock, Region: "lagos", Far: 0.15, Rate: func(string) (float64, time.Duration) { return 1, 3 * time.Second },
-				Pace: &coldpace.Coldpace{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 1.5, Slack: 1},
+				Clock: w.clock, Region: "lagos", RemoteWeight: 0.15, ColdCapacity: func(string) (float64, time.Duration) { return 1, 3 * time.Second },
+				ColdRate: &coldpace.Coldpace{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 1.5, Slack: 1},
 			}
 			e.Values["fixture"] = w
 			return nil
@@ -103,7 +103,7 @@
 	}
 	for _, v := range a[3:] {
 		if h, ok := strings.CutPrefix(v, "homes="); ok {
-			r.Homes = func(region string) bool { return region == h }
+			r.AllowsRegion = func(region string) bool { return region == h }
 		}
 		if n, ok := strings.CutPrefix(v, "not="); ok {
 			r.Tried.Add(n)
@@ -158,7 +158,7 @@
 
 func again(ts *testscript.TestScript, _ bool, a []string) {
 	w := fixtureOf(ts)
-	if d := w.placement.Again(w.requests[a[0]]); d != (scripttest.Scripttest{Script: ts}).Duration(a[1]) {
+	if d := w.placement.RetryAfter(w.requests[a[0]]); d != (scripttest.Scripttest{Script: ts}).Duration(a[1]) {
 		ts.Fatalf("may be placed in %s", d)
 	}
 }
--- a/placementplot/placementplot.go
+++ b/placementplot/placementplot.go
@@ -42,7 +42,7 @@
 	for a := placementtrial.Window; a <= t.For; a += placementtrial.Window {
 		l = append(l, plotter.XY{X: (a - placementtrial.Window).Seconds(), Y: t.Timely(a-placementtrial.Window, a)})
 	}
-	p.lines[t.Trouble][t.Way] = l
+	p.lines[t.Trouble][t.Policy] = l
 }
 
 // Write writes the page.
--- a/placementplot/placementplot_test.go
+++ b/placementplot/placementplot_test.go
@@ -15,8 +15,8 @@
 func TestWritesPlotForEachScenario(t *testing.T) {
 	p := placementplot.New()
 	for _, x := range []string{placementtrial.Calm, placementtrial.Lost} {
-		for _, w := range []string{placementtrial.Random, placementtrial.Product} {
-			v := &placementtrial.Placementtrial{Seed: 1, For: 6 * time.Second, Way: w, Trouble: x}
+		for _, w := range []string{placementtrial.Random, placementtrial.Current} {
+			v := &placementtrial.Placementtrial{Seed: 1, For: 6 * time.Second, Policy: w, Trouble: x}
 			v.Run()
 			p.Add(v)
 		}
--- a/placementtrial/placementtrial.go
+++ b/placementtrial/placementtrial.go
@@ -52,7 +52,7 @@
 // Placement policies.
 const (
 	// Product is package placement as hosts use it.
-	Product = "product"
+	Current = "product"
 	// Eager is package placement without regard to cached objects, as in an earlier
 	// version.
 	Eager = "eager"
@@ -83,7 +83,7 @@
 	// Bound restricts a large account to one region for the whole run. The account has
 	// callers everywhere and sends more than half of the requests; the region has a
 	// third of the backend servers.
-	Bound = "bound"
+	Restricted = "bound"
 )
 
 // Placementtrial is one run of the simulation.
@@ -93,7 +93,7 @@
 	// For is the simulated time.
 	For time.Duration
 	// Way is the placement policy.
-	Way string
+	Policy string
 	// Trouble is the kind of trouble. Unless its description states otherwise, it lasts
 	// from 5 s to 12 s.
 	Trouble string
@@ -143,7 +143,7 @@
 
 // BoundTimely returns the same fraction as Timely, but only of the requests that must be
 // served in one region.
-func (p *Placementtrial) BoundTimely(from, to time.Duration) float64 {
+func (p *Placementtrial) RestrictedTimely(from, to time.Duration) float64 {
 	var n, t int
 	for _, b := range p.windows[from/Window : to/Window] {
 		n += b.restricted
@@ -163,15 +163,15 @@
 
 func (p *Placementtrial) newHost(index int) *placement.Placement {
 	h := &placement.Placement{
-		Clock: p.schedule.Clock, Region: p.region(index), Far: remoteWeight,
-		Pace: &coldpace.Coldpace{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 1, Slack: 1000},
-		Rate: func(string) (float64, time.Duration) { return 1000, 0 },
+		Clock: p.schedule.Clock, Region: p.region(index), RemoteWeight: remoteWeight,
+		ColdRate:     &coldpace.Coldpace{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 1, Slack: 1000},
+		ColdCapacity: func(string) (float64, time.Duration) { return 1000, 0 },
 	}
-	switch p.Way {
+	switch p.Policy {
 	case Anywhere:
-		h.Spread, h.Eager, h.Line = serverCount, true, shortQueueLimit
+		h.Spread, h.IgnoreCache, h.QueueLimit = serverCount, true, shortQueueLimit
 	case Eager:
-		h.Eager, h.Line = true, shortQueueLimit
+		h.IgnoreCache, h.QueueLimit = true, shortQueueLimit
 	}
 	return h
 }
@@ -179,7 +179,7 @@
 // region returns the region of the host or backend server with an index. All are in one
 // region unless the trouble is Bound.
 func (p *Placementtrial) region(index int) string {
-	if p.Trouble != Bound {
+	if p.Trouble != Restricted {
 		return "here"
 	}
 	return fmt.Sprint("region-", index%max(p.Regions, 1))
@@ -227,11 +227,11 @@
 // restrictRegion decides at random whether a request belongs to the account that is
 // restricted to the first region.
 func (p *Placementtrial) restrictRegion(v *simulatedRequest) {
-	if p.Trouble != Bound || p.random.Float64() > restrictedFraction {
+	if p.Trouble != Restricted || p.random.Float64() > restrictedFraction {
 		return
 	}
 	v.restricted = true
-	v.request.Homes = func(r string) bool { return r == p.region(0) }
+	v.request.AllowsRegion = func(r string) bool { return r == p.region(0) }
 }
 
 // randomObject returns a random object of a host's region.
@@ -243,7 +243,7 @@
 
 func (p *Placementtrial) arrive(v *simulatedRequest) {
 	v.window.countArrival(v.restricted)
-	p.hosts[v.host].Count(v.request)
+	p.hosts[v.host].CountArrival(v.request)
 	i, ok := p.place(v)
 	if !ok {
 		v.window.refused++
@@ -264,8 +264,8 @@
 
 // place chooses a backend server by the policy of this run.
 func (p *Placementtrial) place(v *simulatedRequest) (int, bool) {
-	switch p.Way {
-	case Product, Eager, Anywhere:
+	switch p.Policy {
+	case Current, Eager, Anywhere:
 		b, ok, _ := p.hosts[v.host].Take(v.request)
 		if !ok {
 			return 0, false
@@ -286,7 +286,7 @@
 func (p *Placementtrial) highestScore(v *simulatedRequest, score func(s *server) float64) (int, bool) {
 	m, b := -1, 0.0
 	for _, s := range p.servers {
-		if s.down || v.request.Homes != nil && !v.request.Homes(p.region(s.index)) {
+		if s.down || v.request.AllowsRegion != nil && !v.request.AllowsRegion(p.region(s.index)) {
 			continue
 		}
 		if x := score(s); m < 0 || x > b {
--- a/placementtrial/placementtrial_test.go
+++ b/placementtrial/placementtrial_test.go
@@ -40,7 +40,7 @@
 	for _, g := range minGains {
 		t.Run(g.trouble+" against "+g.baseline, func(t *testing.T) {
 			for _, s := range []uint64{1, 2, 3} {
-				p, b := timely(s, g.trouble, placementtrial.Product), timely(s, g.trouble, g.baseline)
+				p, b := timely(s, g.trouble, placementtrial.Current), timely(s, g.trouble, g.baseline)
 				t.Logf("seed %d: %.3f, baseline %.3f", s, p, b)
 				must.GreaterEq(t, g.gain, p-b)
 			}
@@ -60,7 +60,7 @@
 	}{{placementtrial.Short, 0.05}, {placementtrial.Lost, 0.015}, {placementtrial.Burst, 0}} {
 		var g float64
 		for _, s := range []uint64{1, 2, 3} {
-			p, b := regional(s, x.trouble, placementtrial.Product), regional(s, x.trouble, placementtrial.Eager)
+			p, b := regional(s, x.trouble, placementtrial.Current), regional(s, x.trouble, placementtrial.Eager)
 			t.Logf("%s, seed %d: %.3f, baseline %.3f", x.trouble, s, p, b)
 			g += p - b
 		}
@@ -69,7 +69,7 @@
 }
 
 func regional(seed uint64, trouble, way string) float64 {
-	p := &placementtrial.Placementtrial{Seed: seed, For: 20 * time.Second, Way: way, Trouble: trouble, Regions: 3}
+	p := &placementtrial.Placementtrial{Seed: seed, For: 20 * time.Second, Policy: way, Trouble: trouble, Regions: 3}
 	p.Run()
 	return p.Timely(0, 20*time.Second)
 }
@@ -82,10 +82,10 @@
 func TestRestrictedAccountHasCapacity(t *testing.T) {
 	for _, s := range []uint64{0, 1, 2} {
 		p := &placementtrial.Placementtrial{
-			Seed: s, For: 20 * time.Second, Way: placementtrial.Product, Trouble: placementtrial.Bound, Regions: 3,
+			Seed: s, For: 20 * time.Second, Policy: placementtrial.Current, Trouble: placementtrial.Restricted, Regions: 3,
 		}
 		p.Run()
-		a, b := p.Timely(4*time.Second, 20*time.Second), p.BoundTimely(4*time.Second, 20*time.Second)
+		a, b := p.Timely(4*time.Second, 20*time.Second), p.RestrictedTimely(4*time.Second, 20*time.Second)
 		t.Logf("seed %d: %.3f of all, %.3f of the restricted account", s, a, b)
 		must.GreaterEq(t, 0.9, a)
 		must.GreaterEq(t, 0.9, b)
@@ -96,13 +96,13 @@
 // trouble has ended.
 func TestRecovery(t *testing.T) {
 	for _, x := range []string{placementtrial.Slow, placementtrial.Burst, placementtrial.Lost} {
-		p := run(1, x, placementtrial.Product)
+		p := run(1, x, placementtrial.Current)
 		must.GreaterEq(t, 0.95, p.Timely(14*time.Second, 20*time.Second))
 	}
 }
 
 func run(seed uint64, trouble, way string) *placementtrial.Placementtrial {
-	p := &placementtrial.Placementtrial{Seed: seed, For: 20 * time.Second, Way: way, Trouble: trouble}
+	p := &placementtrial.Placementtrial{Seed: seed, For: 20 * time.Second, Policy: way, Trouble: trouble}
 	p.Run()
 	return p
 }
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -41,7 +41,7 @@
 
 // With returns a copy of the plan in which r replaces the route of the same
 // service and home region.
-func (p *Plan) With(r route.Route) *Plan {
+func (p *Plan) WithRoute(r route.Route) *Plan {
 	n := *p
 	n.Routes = nil
 	for _, v := range p.Routes {
@@ -49,7 +49,7 @@
 			n.Routes = append(n.Routes, v)
 		}
 	}
-	if r.Share(r.Home) != route.Points {
+	if r.PointCount(r.Home) != route.TotalPoints {
 		n.Routes = append(n.Routes, r)
 	}
 	sort.Slice(n.Routes, func(i, j int) bool {
@@ -68,7 +68,7 @@
 func (p *Plan) Share(service, region string, callers map[string]float64) float64 {
 	t, c := 0.0, 0.0
 	for h, v := range callers {
-		t += v * float64(p.Route(service, h).Share(region)) / route.Points
+		t += v * float64(p.Route(service, h).PointCount(region)) / route.TotalPoints
 		c += v
 	}
 	if c == 0 {
--- a/planfollower/planfollower.go
+++ b/planfollower/planfollower.go
@@ -48,7 +48,7 @@
 	f.once.Do(func() {
 		f.replica = &replica.Replica{
 			Kind: Kind, Key: accepted.PlanKey, Log: f.Log, Platform: f.Platform, Apply: f.apply, Changed: f.Changed,
-			Clock: f.Clock, Every: f.Poll,
+			Clock: f.Clock, PollInterval: f.Poll,
 		}
 	})
 	return f.replica
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -28,7 +28,7 @@
 	// Interval is the time between two ticks.
 	Interval time.Duration
 	// Lag is the maximum delay of measurements.
-	Lag time.Duration
+	MeasurementDelay time.Duration
 	// Preset returns the policy in force.
 	Preset func() preset.Preset
 	// Draining returns the draining regions.
@@ -41,10 +41,10 @@
 	Current func() *plan.Plan
 	// Quiet reports whether nothing else has moved callers recently; nil
 	// means that nothing else moves callers.
-	Quiet func() bool
+	FailoverIdle func() bool
 	// Held returns the epoch of the planner lease and whether this planner
 	// holds it.
-	Held func() (epoch uint64, ok bool)
+	LeaseEpoch func() (epoch uint64, ok bool)
 	// Publish makes p the successor of version from. It reports false when
 	// another plan was published in between or the lease was lost.
 	Publish func(ctx context.Context, from uint64, p *plan.Plan) (bool, error)
@@ -97,7 +97,7 @@
 // predecessor took the last step, so it waits as if that step had been taken
 // now.
 func (p *Planner) Tick(ctx context.Context) error {
-	e, ok := p.Held()
+	e, ok := p.LeaseEpoch()
 	if !ok {
 		p.epoch = 0
 		return nil
@@ -153,7 +153,7 @@
 // step counts even if its publication fails, since it may have taken effect.
 func (p *Planner) planService(m plan.Plan, v *serviceView) plan.Plan {
 	s := p.state(v.service)
-	if p.Quiet != nil && !p.Quiet() {
+	if p.FailoverIdle != nil && !p.FailoverIdle() {
 		return m
 	}
 	if n, ok := p.revertLastStep(m, v, s); ok {
@@ -209,12 +209,12 @@
 // moved, so no others have moved within the interval.
 func (p *Planner) revertLastStep(m plan.Plan, v *serviceView, s *shiftState) (plan.Plan, bool) {
 	d := v.regions[s.to]
-	if len(s.previousRoutes) == 0 || v.now.Sub(s.at) < p.Lag || !isFailing(d, s.baselines[s.to].observed) {
+	if len(s.previousRoutes) == 0 || v.now.Sub(s.at) < p.MeasurementDelay || !isFailing(d, s.baselines[s.to].observed) {
 		return m, false
 	}
 	n := m
 	for _, r := range s.previousRoutes {
-		n = *n.With(r)
+		n = *n.WithRoute(r)
 	}
 	n.Reason = joinReasons(m.Reason, fmt.Sprintf("%s %s back to %s: the destination fails", v.service, s.to, s.from))
 	if s.failedAt == nil {
@@ -245,7 +245,7 @@
 // stepInterval returns the least time between two steps.
 func (p *Planner) stepInterval() time.Duration {
 	r := p.Preset()
-	return max(r.ShiftInterval, r.LookupTTL+p.Lag)
+	return max(r.ShiftInterval, r.LookupTTL+p.MeasurementDelay)
 }
 
 // planDomains changes the weights of failure domains that are drained or
@@ -292,7 +292,7 @@
 	r := m.Reason
 	t := 0
 	for _, k := range moves {
-		m = *m.With(m.Route(service, k.home).Shift(c.from, c.to, k.points))
+		m = *m.WithRoute(m.Route(service, k.home).Shift(c.from, c.to, k.points))
 		t += k.points
 	}
 	m.Reason = joinReasons(r, fmt.Sprintf("%s %s to %s, %d points: %s", service, c.from, c.to, t, c.reason))
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -90,7 +90,7 @@
 		s.callerShares[r.Name+r.Name] = 1
 	}
 	return &planner.Planner{
-		Clock: s.clock, Log: log.New(io.Discard), Lag: s.Lag, Preset: func() preset.Preset { return s.preset },
+		Clock: s.clock, Log: log.New(io.Discard), MeasurementDelay: s.Lag, Preset: func() preset.Preset { return s.preset },
 		Draining: func() map[string]bool {
 			m := make(map[string]bool)
 			for k, v := range s.lastEvents {
@@ -99,7 +99,7 @@
 			return m
 		},
 		Domains: func() []domain.Domain { return nil }, Observe: s.observe, Current: func() *plan.Plan { return s.plan },
-		Held: func() (uint64, bool) { return 1, true },
+		LeaseEpoch: func() (uint64, bool) { return 1, true },
 		Publish: func(_ context.Context, _ uint64, p *plan.Plan) (bool, error) {
 			s.plan = p
 			return true, nil
@@ -123,7 +123,7 @@
 	f := min(1, float64(tick)/float64(s.preset.LookupTTL))
 	for _, h := range s.Regions {
 		for _, r := range s.Regions {
-			w := float64(s.plan.Route(service, h.Name).Share(r.Name)) / route.Points
+			w := float64(s.plan.Route(service, h.Name).PointCount(r.Name)) / route.TotalPoints
 			s.callerShares[h.Name+r.Name] += f * (w - s.callerShares[h.Name+r.Name])
 		}
 	}
@@ -183,7 +183,7 @@
 // Each file holds a simulation and its trace: the steps that the planner took
 // and the load of the regions.
 func TestSimulationTraces(t *testing.T) {
-	golden.Play(t, func(t *testing.T, p [][]byte) string {
+	golden.Run(t, func(t *testing.T, p [][]byte) string {
 		var s simulation
 		must.NoError(t, codec.Unmarshal(p[0], &s))
 		return s.run(t)
@@ -222,12 +222,12 @@
 		p := s.start()
 		f := &failover.Failover{
 			Clock: s.clock, Preset: func() preset.Preset { return s.preset }, Share: s.share,
-			Room: func(string) float64 { return 1 },
+			FreeCapacity: func(string) float64 { return 1 },
 		}
-		p.Quiet = func() bool { return f.Quiet(s.preset.ShiftInterval) }
+		p.FailoverIdle = func() bool { return f.IdleFor(s.preset.ShiftInterval) }
 		publish := p.Publish
 		p.Publish = func(ctx context.Context, v uint64, n *plan.Plan) (bool, error) {
-			f.Planned()
+			f.RecordPlan()
 			return publish(ctx, v, n)
 		}
 		var h []steering
@@ -237,7 +237,7 @@
 			m := make(map[string]int)
 			for _, r := range s.Regions {
 				f.Tick(service, r.Name, !s.lastEvents[r.Name].Lost)
-				m[r.Name] = f.Moved(service, r.Name)
+				m[r.Name] = f.MovedPoints(service, r.Name)
 			}
 			h = append(h, steering{plan: s.plan, moved: m})
 			for i := max(0, len(h)-int(s.preset.ShiftInterval/tick)); i < len(h); i++ {
@@ -267,14 +267,14 @@
 	m := 0.0
 	for _, o := range s.measure() {
 		x, y := a.plan.Route(service, o.Region), b.plan.Route(service, o.Region)
-		for k := 0; k < route.Points; {
+		for k := 0; k < route.TotalPoints; {
 			i, j := x.Find(k), y.Find(k)
 			e := min(i.Until, j.Until)
 			d := 1.0
 			if i.Region == j.Region {
-				d = math.Abs(float64(a.moved[i.Region]-b.moved[i.Region])) / route.Points
+				d = math.Abs(float64(a.moved[i.Region]-b.moved[i.Region])) / route.TotalPoints
 			}
-			m += o.Callers * d * float64(e-k) / route.Points
+			m += o.Callers * d * float64(e-k) / route.TotalPoints
 			k = e
 		}
 	}
@@ -307,10 +307,10 @@
 	m := 0.0
 	for _, o := range s.measure() {
 		x, y := a.Route(service, o.Region), b.Route(service, o.Region)
-		for k := 0; k < route.Points; {
+		for k := 0; k < route.TotalPoints; {
 			i, j := x.Find(k), y.Find(k)
 			if i.Region != j.Region {
-				m += o.Callers * float64(min(i.Until, j.Until)-k) / route.Points
+				m += o.Callers * float64(min(i.Until, j.Until)-k) / route.TotalPoints
 			}
 			k = min(i.Until, j.Until)
 		}
--- a/planner/view.go
+++ b/planner/view.go
@@ -143,7 +143,7 @@
 		f := (returnUtilization*v.usableSlots(n) - v.regions[n].Demand) / max(v.total, 1)
 		r := m.Route(v.service, n)
 		for _, o := range v.names {
-			a := min(f, v.regions[n].Callers*float64(r.Share(o))/route.Points)
+			a := min(f, v.regions[n].Callers*float64(r.PointCount(o))/route.TotalPoints)
 			if o != n && v.regions[o].Alive && a > c.amount {
 				c.from, c.to, c.amount = o, n, a
 			}
@@ -220,10 +220,10 @@
 	var r []move
 	for _, h := range n {
 		f := v.regions[h].Callers
-		k := min(m.Route(v.service, h).Share(c.from), int(a/f*route.Points))
+		k := min(m.Route(v.service, h).PointCount(c.from), int(a/f*route.TotalPoints))
 		if k > 0 {
 			r = append(r, move{home: h, points: k})
-			a -= float64(k) / route.Points * f
+			a -= float64(k) / route.TotalPoints * f
 		}
 	}
 	return r
--- a/platformclient/platformclient.go
+++ b/platformclient/platformclient.go
@@ -45,7 +45,7 @@
 }
 
 // Platform returns a store.Store whose functions call the platform.
-func (p *Platformclient) Platform() store.Store {
+func (p *Platformclient) Store() store.Store {
 	return store.Store{
 		Read: p.read, Scan: p.scan, Commit: p.commit, PutObject: p.put, GetObject: p.get,
 		Hosts: p.hosts, Announce: p.announce,
--- a/platformclient/platformclient_test.go
+++ b/platformclient/platformclient_test.go
@@ -30,7 +30,7 @@
 		p.Close()
 		s.Close()
 	})
-	return p.Platform()
+	return p.Store()
 }
 
 func put(key, value string) commit.Commit {
@@ -64,7 +64,7 @@
 	}()
 	p := &platformclient.Platformclient{URL: "http://" + l.Addr().String(), Timeout: 10 * time.Second}
 	defer p.Close()
-	f := p.Platform()
+	f := p.Store()
 	ok, err := f.Commit(context.Background(), put("a", "1"))
 	must.NoError(t, err)
 	must.True(t, ok)
@@ -79,19 +79,19 @@
 	s := &standin.Standin{Clock: clockwork.NewRealClock(), Table: new(table.Table)}
 	f := serve(t, s)
 	x := context.Background()
-	s.Set(knobs.Knobs{LoseCommits: 1})
+	s.SetFaults(knobs.Knobs{LoseCommits: 1})
 	_, err := f.Commit(x, put("before", "1"))
 	must.Error(t, err)
 	r, err := f.Read(x, "before")
 	must.NoError(t, err)
 	must.Eq(t, 0, r.Version)
-	s.Set(knobs.Knobs{LoseAnswers: 1})
+	s.SetFaults(knobs.Knobs{LoseAnswers: 1})
 	_, err = f.Commit(x, put("after", "1"))
 	must.Error(t, err)
 	r, err = f.Read(x, "after")
 	must.NoError(t, err)
 	must.Eq(t, 1, r.Version)
-	s.Set(knobs.Knobs{Outage: true})
+	s.SetFaults(knobs.Knobs{Outage: true})
 	_, err = f.Read(x, "after")
 	must.Error(t, err)
 }
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -31,17 +31,17 @@
 	// KeyUnknown means that the operator's key is missing, wrong or withdrawn.
 	KeyUnknown = "KeyUnknown"
 	// Unconfigured means that the host has no configuration yet.
-	Unconfigured = "Unconfigured"
+	NotConfigured = "Unconfigured"
 	// BadRequest means that the interface does not support the request.
 	BadRequest = "BadRequest"
 	// Mistaken means that the configuration has mistakes; nothing was changed.
-	Mistaken = "Mistaken"
+	InvalidConfig = "Mistaken"
 	// Conflict means that the base version of the change is no longer the
 	// accepted version; nothing was changed.
 	Conflict = "Conflict"
 	// Unknown means that the platform failed during the write, so the outcome of
 	// the change is unknown.
-	Unknown = "Unknown"
+	OutcomeUnknown = "Unknown"
 )
 
 // Error returns the cause, the message and all mistakes.
--- a/problem/written_test.go
+++ b/problem/written_test.go
@@ -16,6 +16,6 @@
 	must.Eq(t, []string{
 		"KeyUnknown", "Unconfigured", "BadRequest", "Mistaken", "Conflict", "Unknown",
 	}, []string{
-		KeyUnknown, Unconfigured, BadRequest, Mistaken, Conflict, Unknown,
+		KeyUnknown, NotConfigured, BadRequest, InvalidConfig, Conflict, OutcomeUnknown,
 	})
 }
--- a/pulse/pulse.go
+++ b/pulse/pulse.go
@@ -41,7 +41,7 @@
 }
 
 // Got records that a message arrived.
-func (p *Pulse) Got() {
+func (p *Pulse) Received() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.waitingSince = time.Time{}
--- a/pulse/pulse_test.go
+++ b/pulse/pulse_test.go
@@ -20,7 +20,7 @@
 	must.False(t, p.isSilent())
 	c.Advance(time.Millisecond)
 	must.True(t, p.isSilent())
-	p.Got()
+	p.Received()
 	must.False(t, p.isSilent())
 	c.Advance(time.Hour)
 	must.False(t, p.isSilent())
--- a/queue/estimate.go
+++ b/queue/estimate.go
@@ -72,7 +72,7 @@
 // has no chance to be served while that lasts.
 func (q *Queue) missesDeadline(c *class, a *accountQueue, w *waiter, place int, now time.Time) bool {
 	t := q.expectedWait(c, a, place, now)
-	if w != a.latest && q.Patience > 0 && now.Sub(w.entered) > q.Patience {
+	if w != a.latest && q.NewestFirstAfter > 0 && now.Sub(w.entered) > q.NewestFirstAfter {
 		f := 1 - a.netArrivals.rate(now)*t.Seconds()/float64(place)
 		if f <= 0 {
 			return true
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -25,7 +25,7 @@
 	Acquire func() (slot.Slot, bool)
 	// Borrowed takes a slot that another host of the failure domain lent until
 	// at least the given time; nil disables borrowing.
-	Borrowed func(until time.Time) (slot.Slot, bool)
+	AcquireBorrowed func(until time.Time) (slot.Slot, bool)
 	// Limit is the number of waiting requests above which an account may only
 	// keep its fair share of the queue. There are never more than 2*Limit.
 	Limit int
@@ -35,13 +35,13 @@
 	// Ahead is the queue of another service that uses the same backend servers
 	// and takes precedence; nil means that this queue has backend servers of its
 	// own.
-	Ahead *Queue
+	Precedes *Queue
 	// Slots returns the number of slots that this host may use now; nil means
 	// unknown.
 	Slots func() int
 	// Patience is the waiting time of an account's oldest request above which
 	// its newest request is served first; zero means never.
-	Patience time.Duration
+	NewestFirstAfter time.Duration
 
 	mu       sync.Mutex
 	urgent   class
@@ -53,15 +53,15 @@
 // served only when none waits in that queue, and on no more than half of the
 // slots.
 func (q *Queue) Wait(ctx context.Context, account string, d time.Duration) (slot.Slot, outcome.Outcome) {
-	if q.Ahead != nil {
-		return q.Ahead.wait(ctx, &q.Ahead.deferred, account, d)
+	if q.Precedes != nil {
+		return q.Precedes.wait(ctx, &q.Precedes.deferred, account, d)
 	}
 	return q.wait(ctx, &q.urgent, account, d)
 }
 
 // Enter is a non-blocking Wait for simulations: decided returns the decision
 // once there is one, and leave removes the request from the queue.
-func (q *Queue) Enter(ctx context.Context, account string, d time.Duration) (decided func() (slot.Slot, outcome.Outcome, bool), leave func()) {
+func (q *Queue) Enqueue(ctx context.Context, account string, d time.Duration) (decided func() (slot.Slot, outcome.Outcome, bool), leave func()) {
 	w := q.enter(ctx, &q.urgent, account, d)
 	decided = func() (slot.Slot, outcome.Outcome, bool) {
 		select {
@@ -84,9 +84,9 @@
 
 // Kick grants free slots to waiting requests. It must be called whenever a slot
 // is freed.
-func (q *Queue) Kick() {
-	if q.Ahead != nil {
-		q.Ahead.Kick()
+func (q *Queue) GrantFree() {
+	if q.Precedes != nil {
+		q.Precedes.GrantFree()
 		return
 	}
 	q.mu.Lock()
@@ -99,7 +99,7 @@
 // responding, no other event occurs, and the requests would be refused only at
 // their own deadlines.
 func (q *Queue) Sweep() {
-	if q.Ahead != nil {
+	if q.Precedes != nil {
 		return // included in the sweep of the queue ahead
 	}
 	q.mu.Lock()
@@ -117,8 +117,8 @@
 // Waiting returns the number of waiting requests, with Ahead set those of both
 // queues.
 func (q *Queue) Waiting() int {
-	if q.Ahead != nil {
-		return q.Ahead.Waiting()
+	if q.Precedes != nil {
+		return q.Precedes.Waiting()
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -233,14 +233,14 @@
 // borrowed slot, because the lender uses the slot again when the loan ends.
 func (q *Queue) acquire(w *waiter) (slot.Slot, bool) {
 	s, ok := q.Acquire()
-	if ok || q.Borrowed == nil {
+	if ok || q.AcquireBorrowed == nil {
 		return s, ok
 	}
 	t, ok := w.ctx.Deadline()
 	if !ok {
 		return slot.Slot{}, false
 	}
-	return q.Borrowed(t)
+	return q.AcquireBorrowed(t)
 }
 
 // nextClass returns the class to serve, nil if no request can be served.
@@ -328,11 +328,11 @@
 // older requests get refused, so with a single threshold the order would switch
 // back at once, and every request would wait as long as Patience.
 func (q *Queue) newestFirst(a *accountQueue, now time.Time) bool {
-	if q.Patience == 0 || a.waiting == 0 {
+	if q.NewestFirstAfter == 0 || a.waiting == 0 {
 		return false
 	}
 	t := now.Sub(a.oldest.entered)
-	a.overloaded = t > q.Patience || a.overloaded && t > q.Patience/2
+	a.overloaded = t > q.NewestFirstAfter || a.overloaded && t > q.NewestFirstAfter/2
 	return a.overloaded
 }
 
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -36,7 +36,7 @@
 		cancels: map[string]context.CancelFunc{}, decisions: map[string]decision{},
 	}
 	r.queue = &Queue{
-		Clock: r.clock, Limit: 1000, Patience: 100 * time.Millisecond, Acquire: r.acquire,
+		Clock: r.clock, Limit: 1000, NewestFirstAfter: 100 * time.Millisecond, Acquire: r.acquire,
 		Weight: func(a string) float64 { return r.weights[a] }, Slots: func() int { return r.slots },
 	}
 	return r
@@ -49,7 +49,7 @@
 	r.used++
 	return slot.Slot{Release: func(result.Result) {
 		r.used--
-		r.queue.Kick()
+		r.queue.GrantFree()
 	}}, true
 }
 
@@ -97,7 +97,7 @@
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
 			"slots": func(s *testscript.TestScript, _ bool, a []string) {
 				get(s).slots = check(s).Number(a[0])
-				get(s).queue.Kick()
+				get(s).queue.GrantFree()
 			},
 			"limit": func(s *testscript.TestScript, _ bool, a []string) { get(s).queue.Limit = check(s).Number(a[0]) },
 			"weight": func(s *testscript.TestScript, _ bool, a []string) {
@@ -272,7 +272,7 @@
 				w := q.enter(b.Context(), &q.urgent, strconv.Itoa(i%8), time.Hour)
 				v := q.enter(b.Context(), &q.urgent, strconv.Itoa(i%8), time.Hour)
 				_, _ = q.leave(v, outcome.Outcome{})
-				q.Kick()
+				q.GrantFree()
 				r.used = 0
 				_ = w
 			}
--- a/quota/entry.go
+++ b/quota/entry.go
@@ -60,11 +60,11 @@
 func (e *entry) refill(now time.Time, a account.Account, g grant.Grant) {
 	r := min(e.rate, a.Rate)
 	r -= r / driftDivisor
-	e.bucket.Limit(max(a.Burst*g.Part(now)-e.lentTokens(now), 0))
-	e.bucket.Gain(r*g.Floor, overlap(e.lastRefill, now, g.FloorSince, g.FloorUntil))
-	e.bucket.Gain(r*g.Leased, overlap(e.lastRefill, now, g.LeasedSince, g.LeasedUntil))
-	e.grantUnknown = g.Unknown
-	e.refillRate = r * g.Part(now)
+	e.bucket.SetBurst(max(a.Burst*g.Fraction(now)-e.lentTokens(now), 0))
+	e.bucket.AddAccrued(r*g.Floor, overlap(e.lastRefill, now, g.FloorSince, g.FloorUntil))
+	e.bucket.AddAccrued(r*g.Leased, overlap(e.lastRefill, now, g.LeasedSince, g.LeasedUntil))
+	e.grantUnknown = g.Unassigned
+	e.refillRate = r * g.Fraction(now)
 	e.rate = a.Rate
 	if now.After(e.lastRefill) {
 		e.lastRefill = now
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -70,7 +70,7 @@
 	more(2 * burst)
 	f.KillHost("n1-a")
 	more(2 * burst)
-	f.Cut("n1", "n2")
+	f.Partition("n1", "n2")
 	f.StartHost("n1-a")
 	more(2 * burst)
 	f.Heal("n1", "n2")
--- a/quota/lent_test.go
+++ b/quota/lent_test.go
@@ -20,7 +20,7 @@
 		Clock:   c,
 		Account: func(string) (account.Account, bool) { return account.Account{Name: "a", Rate: 10, Burst: 20}, true },
 		Grant: func(string) grant.Grant {
-			return grant.Grant{Floor: 1, FloorSince: c.Now(), FloorUntil: c.Now().Add(time.Hour), Unused: true}
+			return grant.Grant{Floor: 1, FloorSince: c.Now(), FloorUntil: c.Now().Add(time.Hour), FirstUse: true}
 		},
 	}
 	must.Eq(t, 0, q.Lent("a"))
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -45,7 +45,7 @@
 	a, _ := q.Account(name)
 	g := q.Grant(name)
 	d = min(d, remainingTime(g, n))
-	s := e.bucket.Tokens() - min(maxReserveFraction*a.Burst*g.Part(n), reserveSeconds*e.demand)
+	s := e.bucket.Tokens() - min(maxReserveFraction*a.Burst*g.Fraction(n), reserveSeconds*e.demand)
 	if s < 1 || d <= 0 {
 		return 0, 0
 	}
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -164,7 +164,7 @@
 // is called right before the grants change, so that no bucket is refilled for a
 // time in which its grant was not valid. Requests are admitted between two
 // batches; they use the grants that are still in force too.
-func (q *Quota) Sync() {
+func (q *Quota) RefillAll() {
 	for i := 0; q.syncFrom(i); i += syncBatchSize {
 	}
 }
@@ -197,8 +197,8 @@
 		e = &entry{name: name, lastRefill: now, rate: a.Rate}
 		q.entries[name] = e
 		q.entryList = append(q.entryList, e)
-		e.bucket.Limit(a.Burst * g.Part(now))
-		if g.Unused {
+		e.bucket.SetBurst(a.Burst * g.Fraction(now))
+		if g.FirstUse {
 			e.bucket.Fill()
 		}
 	}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -36,7 +36,7 @@
 func newTestQuota() *testQuota {
 	c := clockwork.NewFakeClock()
 	n := c.Now()
-	b := &testQuota{clock: c, grant: grant.Grant{Leased: 1, LeasedSince: n, LeasedUntil: n.Add(time.Hour), Unused: true}}
+	b := &testQuota{clock: c, grant: grant.Grant{Leased: 1, LeasedSince: n, LeasedUntil: n.Add(time.Hour), FirstUse: true}}
 	b.Quota = &quota.Quota{
 		Clock: c, Hold: 3 * time.Second,
 		Account: func(n string) (account.Account, bool) { return account.Account{Name: n, Rate: 10, Burst: 4}, n == "a" },
@@ -61,7 +61,7 @@
 	must.Eq(t, 4, b.drain())
 	b.grant.LeasedUntil = b.clock.Now().Add(101 * time.Millisecond)
 	b.clock.Advance(5 * time.Second)
-	b.Sync()
+	b.RefillAll()
 	n := b.clock.Now()
 	b.grant = grant.Grant{Leased: 1, LeasedSince: n, LeasedUntil: n.Add(time.Hour)}
 	must.Eq(t, 0, b.drain())
@@ -210,7 +210,7 @@
 	s := holder.Holder{Name: "h", Domain: "d"}
 	h := &holding.Holding{Clock: c, Self: s, Hold: time.Hour, StoreHold: time.Hour}
 	h.Tick()
-	h.Learn(division.Division{Epoch: 1, Holders: []holder.Holder{s}, LeasedSpans: []span.Span{{To: span.Whole}}}, c.Now())
+	h.ApplyDivision(division.Division{Epoch: 1, Holders: []holder.Holder{s}, LeasedSpans: []span.Span{{To: span.FullLength}}}, c.Now())
 	return h
 }
 
@@ -226,7 +226,7 @@
 				x.Take(fmt.Sprintf("account-%d", i))
 			}
 			for b.Loop() {
-				x.Sync()
+				x.RefillAll()
 			}
 		})
 	}
--- a/receive/bench_test.go
+++ b/receive/bench_test.go
@@ -47,7 +47,7 @@
 	var n net.ListenConfig
 	l, err := n.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	p := &streampool.Streampool{Clock: c, Idle: time.Minute, PerAddress: 8, Dials: 8, Dial: func(ctx context.Context, a string) (net.Conn, error) {
+	p := &streampool.Streampool{Clock: c, Idle: time.Minute, PerAddress: 8, MaxDials: 8, Dial: func(ctx context.Context, a string) (net.Conn, error) {
 		var d net.Dialer
 		return d.DialContext(ctx, "tcp", a)
 	}}
--- a/receive/body.go
+++ b/receive/body.go
@@ -34,7 +34,7 @@
 	for {
 		b.pulse.Wait()
 		m, err := b.stream.Recv()
-		b.pulse.Got()
+		b.pulse.Received()
 		switch {
 		case err != nil && !w && errors.Is(err, io.EOF):
 			b.ended <- io.ErrUnexpectedEOF
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -49,7 +49,7 @@
 	Timeout time.Duration
 	// Retry is how long a peer is skipped after a failed fetch, and the longest
 	// time between two passes of Run.
-	Retry time.Duration
+	RetryDelay time.Duration
 
 	mu           sync.Mutex
 	peerVersions map[string]map[string]*wire.Version // by peer and kind
@@ -58,7 +58,7 @@
 }
 
 // Heard records the versions that a peer announces, and wakes Run if one is newer.
-func (r *Relay) Heard(from string, v []*wire.Version) {
+func (r *Relay) RecordVersions(from string, v []*wire.Version) {
 	r.mu.Lock()
 	if r.peerVersions == nil {
 		r.peerVersions = make(map[string]map[string]*wire.Version)
@@ -84,7 +84,7 @@
 // Receive processes a peer's notice and returns this host's versions.
 func (r *Relay) Receive(n *wire.Notice) *wire.Notice {
 	if n.GetFrom() != nil {
-		r.Heard(n.From.Name, n.Versions)
+		r.RecordVersions(n.From.Name, n.Versions)
 	}
 	return &wire.Notice{Versions: r.ownVersions()}
 }
@@ -104,7 +104,7 @@
 
 // Ask requests a part of a content from peers that have a higher version of the
 // content. The caller must verify the hash.
-func (r *Relay) Ask(ctx context.Context, p *replica.Replica, kind, hash string) ([]byte, error) {
+func (r *Relay) FetchPart(ctx context.Context, p *replica.Replica, kind, hash string) ([]byte, error) {
 	a := r.peersAhead(p)
 	for _, m := range a[:min(len(a), maxPeersPerObject)] {
 		x, f := context.WithTimeout(ctx, r.Timeout)
@@ -158,7 +158,7 @@
 		case <-ctx.Done():
 			return
 		case <-wake:
-		case <-r.Clock.After(r.Retry):
+		case <-r.Clock.After(r.RetryDelay):
 		}
 		work(ctx)
 	}
@@ -184,7 +184,7 @@
 			if r.retryAfter == nil {
 				r.retryAfter = make(map[string]time.Time)
 			}
-			r.retryAfter[m.Name] = r.Clock.Now().Add(r.Retry)
+			r.retryAfter[m.Name] = r.Clock.Now().Add(r.RetryDelay)
 			r.mu.Unlock()
 		}
 	}
@@ -253,10 +253,10 @@
 	if err != nil {
 		return // the peer learns the versions from heartbeats
 	}
-	r.Heard(m.Name, a.Versions)
+	r.RecordVersions(m.Name, a.Versions)
 	// The peer fetches by itself from now on. Recording the versions as received
 	// avoids sending it the same notice at each pass.
-	r.Heard(m.Name, n.Versions)
+	r.RecordVersions(m.Name, n.Versions)
 }
 
 // peersBehind returns the peers to notify: first one of each other failure domain,
--- a/relaytrial/relaytrial.go
+++ b/relaytrial/relaytrial.go
@@ -140,7 +140,7 @@
 		n.replica = &replica.Replica{Kind: "Config", Log: l, Apply: func(uint64, string, []byte) error { return nil }}
 		n.relay = &relay.Relay{
 			Clock: c, Log: l, Self: func() member.Member { return n.self }, Peers: func() []member.Member { return n.peers },
-			Replicas: []*replica.Replica{n.replica}, Fanout: 16, Timeout: time.Second, Retry: time.Second,
+			Replicas: []*replica.Replica{n.replica}, Fanout: 16, Timeout: time.Second, RetryDelay: time.Second,
 			Fetch: func(_ context.Context, to string, f *wire.FetchRequest) (*wire.FetchResponse, error) {
 				return t.fetch(n, to, f)
 			},
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -43,7 +43,7 @@
 	// Clock paces the reads of the platform.
 	Clock clockwork.Clock
 	// Every returns the time until the next read.
-	Every func() time.Duration
+	PollInterval func() time.Duration
 	// Polled is called after each read that the platform answered. It may be nil.
 	Polled func()
 	// Apply puts a content in force. If it returns an error, the content is
@@ -79,7 +79,7 @@
 }
 
 // Forked returns how often a different content was seen with this host's version.
-func (r *Replica) Forked() uint64 {
+func (r *Replica) Divergences() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.divergences
@@ -115,13 +115,13 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-r.Clock.After(r.Every()):
+		case <-r.Clock.After(r.PollInterval()):
 		}
 	}
 }
 
 // Read reports whether Run has read the platform successfully at least once.
-func (r *Replica) Read() bool {
+func (r *Replica) HasPolled() bool {
 	return r.platformRead.Load()
 }
 
--- a/report/builder.go
+++ b/report/builder.go
@@ -138,8 +138,8 @@
 		}
 		r.Budgets = append(r.Budgets,
 			b.budget(v, Latency, o.LatencyFraction, 1-o.LatencyFraction),
-			b.budget(v, Whole, o.WholeFraction, 1-o.WholeFraction),
-			b.budget(v, Wrongful, o.WrongfulFraction, o.WrongfulFraction))
+			b.budget(v, Complete, o.WholeFraction, 1-o.WholeFraction),
+			b.budget(v, WrongfulRefusal, o.WrongfulFraction, o.WrongfulFraction))
 	}
 }
 
@@ -163,7 +163,7 @@
 	switch objective {
 	case Latency:
 		return float64(t.Answered - t.Timely), float64(t.Answered)
-	case Whole:
+	case Complete:
 		return float64(t.Failed) + i, float64(t.Answered+t.Failed) + i
 	default:
 		return i, float64(t.Answered+t.Failed) + i
--- a/report/measures.go
+++ b/report/measures.go
@@ -22,7 +22,7 @@
 	r := worstAccount{Service: o.Service, Served: 2, Target: o.WorstShare}
 	for _, a := range b.config.Accounts {
 		s := scope{service: o.Service, account: a.Name}
-		d, t := badAndTotal(Whole, b.sum(s, recentWindow), b.wrongfulRefusals(s, recentWindow))
+		d, t := badAndTotal(Complete, b.sum(s, recentWindow), b.wrongfulRefusals(s, recentWindow))
 		if t > 0 && (t-d)/t < r.Served {
 			r.Account = a.Name
 			r.Served = (t - d) / t
@@ -130,7 +130,7 @@
 	var r []burnPoint
 	for k, t := range m {
 		x, n := badAndTotal(Latency, *t, 0)
-		y, z := badAndTotal(Whole, *t, w[k])
+		y, z := badAndTotal(Complete, *t, w[k])
 		f := max(burnRate(x, n, 1-o.LatencyFraction), burnRate(y, z, 1-o.WholeFraction))
 		r = append(r, burnPoint{Minute: k, Service: o.Service, Burn: f})
 	}
--- a/report/report.go
+++ b/report/report.go
@@ -11,9 +11,9 @@
 
 // Names of the objectives that have an error budget.
 const (
-	Latency  = "Latency"
-	Whole    = "Whole"
-	Wrongful = "Wrongful"
+	Latency         = "Latency"
+	Complete        = "Whole"
+	WrongfulRefusal = "Wrongful"
 )
 
 // Values of Alert.
--- a/report/written_test.go
+++ b/report/written_test.go
@@ -16,6 +16,6 @@
 	must.Eq(t, []string{
 		"Latency", "Whole", "Wrongful", "fast", "slow",
 	}, []string{
-		Latency, Whole, Wrongful, Fast, Slow,
+		Latency, Complete, WrongfulRefusal, Fast, Slow,
 	})
 }
--- a/request/request.go
+++ b/request/request.go
@@ -40,9 +40,9 @@
 	// the host's default.
 	Attempts int
 	// Patience is how long the request may wait for a slot.
-	Patience time.Duration
+	MaxWait time.Duration
 	// Homes reports whether a region may serve the request; nil allows all regions.
-	Homes func(region string) bool
+	AllowsRegion func(region string) bool
 	// Tried holds the backend servers that the request was sent to.
 	Tried *tried.Tried
 	// Trail collects the decisions on the request for the log.
@@ -59,7 +59,7 @@
 	Rewind func() io.Reader
 	// Touched is set before the first byte of the body is read: after that, a body
 	// that cannot be rewound cannot be sent again. It may be nil.
-	Touched *atomic.Bool
+	BodyReadStarted *atomic.Bool
 	// Length is the length of the body, -1 if it is not known.
 	Length int64
 	// Deadline is when the caller stops waiting.
--- a/role/role.go
+++ b/role/role.go
@@ -7,7 +7,7 @@
 	// Name is the name of the role, the first column of the table.
 	Name string
 	// State is the memory that the role uses on a host, in bytes.
-	State float64
+	Memory float64
 	// Messages is the number of messages per second that a host sends.
 	Messages float64
 	// Traffic is the number of control-plane bytes per second that a host sends.
@@ -19,8 +19,8 @@
 	// Core is the fraction of a CPU core that the role uses on a host.
 	Core float64
 	// Carries describes the mechanism that supports the role at the target size.
-	Carries string
+	Mechanism string
 	// Breaks describes why the present code would fail at the target size. It is
 	// empty if the code would not.
-	Breaks string
+	Bottleneck string
 }
--- a/route/route.go
+++ b/route/route.go
@@ -9,7 +9,7 @@
 )
 
 // Points is the number of points that a route divides between regions.
-const Points = 1_000_000
+const TotalPoints = 1_000_000
 
 // Route maps each point to a region. Each client block has a fixed point, so
 // moving a range of points moves exactly the blocks in it, and moving the range
@@ -25,7 +25,7 @@
 
 // New returns the route that keeps every client block in its home region.
 func New(service, home string) Route {
-	return Route{Service: service, Home: home, Segments: []segment.Segment{{Until: Points, Region: home}}}
+	return Route{Service: service, Home: home, Segments: []segment.Segment{{Until: TotalPoints, Region: home}}}
 }
 
 // Point returns the point of a client block.
@@ -34,7 +34,7 @@
 	_, _ = d.WriteString(service)
 	_, _ = d.WriteString("\x00")
 	_, _ = d.WriteString(block)
-	return int(d.Sum64() % Points)
+	return int(d.Sum64() % TotalPoints)
 }
 
 // Find returns the segment of a point.
@@ -44,11 +44,11 @@
 			return s
 		}
 	}
-	return segment.Segment{Until: Points, Region: r.Home}
+	return segment.Segment{Until: TotalPoints, Region: r.Home}
 }
 
 // Share returns the number of points of a region.
-func (r Route) Share(region string) int {
+func (r Route) PointCount(region string) int {
 	n := 0
 	b := 0
 	for _, s := range r.Segments {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -24,10 +24,10 @@
 			if a == b {
 				continue
 			}
-			n := rapid.IntRange(0, route.Points).Draw(t, "points")
+			n := rapid.IntRange(0, route.TotalPoints).Draw(t, "points")
 			s := r.Shift(a, b, n)
-			must.EqOp(t, min(n, r.Share(a)), moved(t, r, s, a, b))
-			must.EqOp(t, route.Points, s.Segments[len(s.Segments)-1].Until)
+			must.EqOp(t, min(n, r.PointCount(a)), moved(t, r, s, a, b))
+			must.EqOp(t, route.TotalPoints, s.Segments[len(s.Segments)-1].Until)
 			r = s
 		}
 	})
@@ -35,7 +35,7 @@
 
 func moved(t must.T, r, s route.Route, a, b string) int {
 	m := 0
-	for k := 0; k < route.Points; {
+	for k := 0; k < route.TotalPoints; {
 		i, j := r.Find(k), s.Find(k)
 		e := min(i.Until, j.Until)
 		if i.Region != j.Region {
--- a/sample/sample.go
+++ b/sample/sample.go
@@ -30,7 +30,7 @@
 
 // NotRun is the prefix of outcomes for which the host guarantees that the
 // request did not run.
-const NotRun = "NotRun."
+const NotRunPrefix = "NotRun."
 
 // Sample simulates a group of callers.
 type Sample struct {
@@ -119,7 +119,7 @@
 		return "Unreadable"
 	}
 	if o.Ran == outcome.RanNo {
-		return NotRun + o.Outcome
+		return NotRunPrefix + o.Outcome
 	}
 	return o.Outcome
 }
--- a/sample/written_test.go
+++ b/sample/written_test.go
@@ -10,6 +10,6 @@
 	must.Eq(t, []string{
 		"NotRun.",
 	}, []string{
-		NotRun,
+		NotRunPrefix,
 	})
 }
--- a/scenario/crowd_test.go
+++ b/scenario/crowd_test.go
@@ -139,7 +139,7 @@
 	for range c.size {
 		<-c.done
 	}
-	r := c.state.fleet.Runs()
+	r := c.state.fleet.RunCounts()
 	for id, e := range c.depositOutcomes {
 		n := r[id]
 		if n > 1 || e == "answered" && n != 1 || e == "not run" && n != 0 {
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -72,7 +72,7 @@
 		"send":     send,   // send HOST ACCOUNT METHOD PATH [ID]: send a request and print its outcome
 		"await":    await,  // await REGEXP COMMAND...: run send or operate until its output matches
 		"runs":     runs,   // runs ID N: check that the backend servers ran the id N times
-		"cut":      linkCommand(func(w *scriptState, a, b string) { w.fleet.Cut(a, b) }),
+		"cut":      linkCommand(func(w *scriptState, a, b string) { w.fleet.Partition(a, b) }),
 		"heal":     linkCommand(func(w *scriptState, a, b string) { w.fleet.Heal(a, b) }),
 		"crash":    hostCommand(func(w *scriptState, h string) error { w.fleet.KillHost(h); return nil }),
 		"replace":  hostCommand(func(w *scriptState, h string) error { w.fleet.StartHost(h); return nil }),
@@ -105,8 +105,8 @@
 	k.FloorFraction = 0.1
 	w.fleet = &fleet.Fleet{
 		Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), HostsPerDomain: n, BackendsPerService: 2, Slots: 4,
-		Work: 2 * time.Millisecond,
-		Adjust: func(s *settings.Settings) {
+		RequestDuration: 2 * time.Millisecond,
+		AdjustSettings: func(s *settings.Settings) {
 			s.Hold = hold
 			s.Heartbeat = hold / 15
 		},
@@ -179,7 +179,7 @@
 func runs(ts *testscript.TestScript, _ bool, args []string) {
 	n, err := strconv.Atoi(args[1])
 	ts.Check(err)
-	if r := stateOf(ts).fleet.Runs()[args[0]]; r != n {
+	if r := stateOf(ts).fleet.RunCounts()[args[0]]; r != n {
 		ts.Fatalf("id %s ran %d times, want %d", args[0], r, n)
 	}
 }
@@ -214,7 +214,7 @@
 	if !ok {
 		ts.Fatalf("store: unknown state %s, want ok, out, slow or lose", args[0])
 	}
-	stateOf(ts).fleet.Platform.Set(v)
+	stateOf(ts).fleet.Platform.SetFaults(v)
 }
 
 func operate(ts *testscript.TestScript, neg bool, args []string) {
@@ -232,7 +232,7 @@
 		case "CELERYREACH_OPERATOR":
 			return "http://" + w.fleet.Settings(args[0]).OperatorAddress
 		case "CELERYREACH_OPERATOR_KEY":
-			return w.fleet.Operator
+			return w.fleet.OperatorKey
 		default:
 			return ""
 		}
--- a/separation/fleet_test.go
+++ b/separation/fleet_test.go
@@ -41,7 +41,7 @@
 	p := preset.Preset{Name: "Ordinary", ShiftCap: 0.1, ShiftInterval: time.Second, GrowthCap: 0.5, FloorFraction: 0.5, MaxWait: time.Second, LookupTTL: time.Second}
 	f := &fleet.Fleet{
 		Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), HostsPerDomain: 1, BackendsPerService: 1, Slots: 4,
-		Adjust: func(s *settings.Settings) {
+		AdjustSettings: func(s *settings.Settings) {
 			s.Heartbeat = 50 * time.Millisecond
 			s.Hold = 500 * time.Millisecond
 		},
@@ -67,7 +67,7 @@
 	u := "http://" + f.Settings(host).OperatorAddress + "/config?from=" + strconv.FormatUint(from, 10)
 	q, err := http.NewRequestWithContext(ctx, http.MethodPut, u, bytes.NewReader(b))
 	must.NoError(t, err)
-	q.Header.Set("Authorization", "Bearer "+f.Operator)
+	q.Header.Set("Authorization", "Bearer "+f.OperatorKey)
 	r, err := http.DefaultClient.Do(q)
 	must.NoError(t, err)
 	must.NoError(t, r.Body.Close())
@@ -136,7 +136,7 @@
 	ctx, f := startFleet(t)
 	p := &platformclient.Platformclient{URL: f.PlatformURL, Timeout: time.Second}
 	defer p.Close()
-	u := &blockpublish.Blockpublish{Clock: clockwork.NewRealClock(), Platform: p.Platform()}
+	u := &blockpublish.Blockpublish{Clock: clockwork.NewRealClock(), Platform: p.Store()}
 	n := netip.MustParsePrefix("10.0.0.0/8")
 	for _, r := range []string{"abuja", "lagos"} {
 		_, err := u.Change(ctx, []block.Block{{Prefix: n, Region: r}}, nil)
@@ -188,8 +188,8 @@
 		}
 	}
 	must.NoError(t, f.Await(ctx, "an OK response", served(h)))
-	for _, p := range []string{"lagos", fleet.PlatformPlace} {
-		f.Cut("abuja", p)
+	for _, p := range []string{"lagos", fleet.PlatformLabel} {
+		f.Partition("abuja", p)
 	}
 	must.NoError(t, f.Await(ctx, "KeyStale for a POST", refused(http.MethodPost, "1")))
 	must.NoError(t, f.Await(ctx, "KeyStale for a GET", refused(http.MethodGet, "")))
@@ -198,7 +198,7 @@
 		s, err := f.Status(ctx, "lagos-1-a")
 		return err == nil && len(s.InForce.Silent) == 1 && len(s.InForce.SilentDomains) == 1 && s.InForce.SilentDomains[0] == "abuja-1"
 	}))
-	for _, p := range []string{"lagos", fleet.PlatformPlace} {
+	for _, p := range []string{"lagos", fleet.PlatformLabel} {
 		f.Heal("abuja", p)
 	}
 	must.NoError(t, f.Await(ctx, "an OK response after the partition", served(h)))
--- a/separation/hostlist_test.go
+++ b/separation/hostlist_test.go
@@ -29,12 +29,12 @@
 	beats := make(map[string]int)
 	m := &membership.Membership{
 		Clock: c, Log: log.New(io.Discard), Interval: 200 * time.Millisecond, Hold: 3 * time.Second,
-		Self:    func() member.Member { return member.Member{Name: "a", PeerAddress: "a"} },
-		Compose: func(*wire.Heartbeat) {}, Heard: func(*wire.Heartbeat, time.Time) {},
-		Listed: func(context.Context) ([]member.Member, error) {
+		Self:          func() member.Member { return member.Member{Name: "a", PeerAddress: "a"} },
+		FillHeartbeat: func(*wire.Heartbeat) {}, OnHeartbeat: func(*wire.Heartbeat, time.Time) {},
+		ListHosts: func(context.Context) ([]member.Member, error) {
 			return []member.Member{{Name: "dead", PeerAddress: "dead"}, {Name: "c", PeerAddress: "c"}}, nil
 		},
-		Beat: func(_ context.Context, to string, _ *wire.Heartbeat) (*wire.Heartbeat, error) {
+		SendHeartbeat: func(_ context.Context, to string, _ *wire.Heartbeat) (*wire.Heartbeat, error) {
 			mu.Lock()
 			defer mu.Unlock()
 			beats[to]++
--- a/separation/scenario_test.go
+++ b/separation/scenario_test.go
@@ -270,7 +270,7 @@
 // content under the same version: forks.
 func printContentConflicts(s script, _ []string) {
 	for _, n := range s.cluster.hostNames() {
-		s.print("%s: other contents seen %t", n, s.cluster.hosts[n].follower.Replica().Forked() > 0)
+		s.print("%s: other contents seen %t", n, s.cluster.hosts[n].follower.Replica().Divergences() > 0)
 	}
 }
 
@@ -299,7 +299,7 @@
 		o := "admitted"
 		if _, ok := a.Identify(r); !ok {
 			o = "KeyUnknown"
-		} else if !a.Trusts(m == http.MethodPost) {
+		} else if !a.MayUseKeys(m == http.MethodPost) {
 			o = "KeyStale"
 		}
 		s.print("%s %s %s: %s", args[0], args[1], m, o)
--- a/separation/version_test.go
+++ b/separation/version_test.go
@@ -132,7 +132,7 @@
 
 // accepted returns the accepted configuration version on the platform.
 func (w *cluster) accepted() (a accepted.Accepted) {
-	if r := w.table.Read(accepted.RowKey); r.Version > 0 {
+	if r := w.table.Read(accepted.ConfigKey); r.Version > 0 {
 		_ = codec.Unmarshal(r.Value, &a)
 	}
 	return a
--- a/separation/world_test.go
+++ b/separation/world_test.go
@@ -94,7 +94,7 @@
 	n.relay = &relay.Relay{
 		Clock: w.clock, Log: l, Self: func() member.Member { return n.self }, Peers: n.alive,
 		Replicas: []*replica.Replica{n.follower.Replica(), n.plans.Replica()},
-		Fetch:    n.fetch, Notify: n.notify, Fanout: 16, Timeout: time.Second, Retry: time.Second,
+		Fetch:    n.fetch, Notify: n.notify, Fanout: 16, Timeout: time.Second, RetryDelay: time.Second,
 	}
 	w.hosts[name] = n
 	return n
@@ -221,18 +221,18 @@
 	m := n.self
 	return &wire.Heartbeat{
 		From:     &wire.Host{Name: m.Name, Domain: m.Domain, Region: m.Region, PeerAddress: m.PeerAddress},
-		Versions: []*wire.Version{n.follower.Replica().Digest(), n.plans.Replica().Digest()}, KeyAgeNanoseconds: n.freshness.Own(),
+		Versions: []*wire.Version{n.follower.Replica().Digest(), n.plans.Replica().Digest()}, KeyAgeNanoseconds: n.freshness.OwnAge(),
 	}
 }
 
 func (n *testHost) receive(h *wire.Heartbeat) {
 	n.lastReceived[h.From.Name] = n.cluster.clock.Now()
 	if h.From.Domain == n.self.Domain {
-		n.freshness.Heard(h.KeyAgeNanoseconds)
+		n.freshness.RecordRemoteAge(h.KeyAgeNanoseconds)
 	} else {
-		n.freshness.Seen()
+		n.freshness.RecordContact()
 	}
-	n.relay.Heard(h.From.Name, h.Versions)
+	n.relay.RecordVersions(h.From.Name, h.Versions)
 	if n.acceptsAny {
 		n.adoptContent(h.From.Name, h.Versions[0])
 	}
@@ -267,7 +267,7 @@
 func (n *testHost) poll() error {
 	err := n.follower.Replica().Poll(context.Background())
 	if err == nil {
-		n.freshness.Seen()
+		n.freshness.RecordContact()
 	}
 	return err
 }
@@ -277,7 +277,7 @@
 func (n *testHost) commit(from uint64, edit func(c *config.Config)) (accepted.Accepted, bool, error) {
 	k := &change.Change{
 		Platform: n.cluster.platform(n.self.Name), Clock: instantClock{n.cluster.clock},
-		Accepted: func(a accepted.Accepted, b []byte) { _ = n.follower.Offer(a.Version, a.Hash, b) },
+		OnAccepted: func(a accepted.Accepted, b []byte) { _ = n.follower.Offer(a.Version, a.Hash, b) },
 	}
 	var c config.Config
 	if s := n.follower.Snapshot(); s != nil {
--- a/silence/silence.go
+++ b/silence/silence.go
@@ -26,15 +26,15 @@
 	// receives messages from; ok is false if the store never did.
 	Age func() (d time.Duration, ok bool)
 	// After is the age from which changes may be missing.
-	After time.Duration
+	MaxAge time.Duration
 	// Long is the duration of a silence after which changes may be missing for another
 	// Settle.
-	Long, Settle time.Duration
+	LongSilence, Settle time.Duration
 	// Entries returns the age, as Age does, of the store's last answer on the entries
 	// that carry the missing changes. After a long silence, changes may also be missing
 	// until News after these entries are received.
-	Entries func() (d time.Duration, ok bool)
-	News    time.Duration
+	EntriesAge   func() (d time.Duration, ok bool)
+	EntriesDelay time.Duration
 
 	mu         sync.Mutex
 	lastAge    time.Duration // at the last check
@@ -46,7 +46,7 @@
 // Run checks the age until ctx ends, so that no silence between requests is missed.
 func (s *Silence) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		s.Unheard()
+		s.ChangesMissing()
 		select {
 		case <-ctx.Done():
 		case <-s.Clock.After(checkInterval):
@@ -56,20 +56,20 @@
 }
 
 // Unheard reports whether the store may hold changes that no host has received.
-func (s *Silence) Unheard() bool {
+func (s *Silence) ChangesMissing() bool {
 	d, ok := s.Age()
-	e, _ := s.Entries()
+	e, _ := s.EntriesAge()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.Clock.Now()
-	if s.lastAge+checkInterval >= s.Long && d < s.lastAge {
+	if s.lastAge+checkInterval >= s.LongSilence && d < s.lastAge {
 		s.silenceEnd, s.staleUntil = n, n.Add(s.Settle)
 	}
 	s.lastAge = d
 	if n.Before(s.staleUntil) && e >= n.Sub(s.silenceEnd) {
-		s.staleUntil = deadline.Later(s.staleUntil, n.Add(s.News))
+		s.staleUntil = deadline.Later(s.staleUntil, n.Add(s.EntriesDelay))
 	}
-	u := !ok || d >= s.After || n.Before(s.staleUntil)
+	u := !ok || d >= s.MaxAge || n.Before(s.staleUntil)
 	s.logChange(u && ok, d)
 	return u
 }
--- a/silence/silence_test.go
+++ b/silence/silence_test.go
@@ -26,10 +26,10 @@
 	b := c.Now()
 	var answered, read time.Time
 	s := &Silence{
-		Clock: c, Log: log.New(io.Discard), After: 3900 * time.Millisecond, Long: 5 * time.Second, Settle: 2 * time.Second,
-		News:    400 * time.Millisecond,
-		Age:     func() (time.Duration, bool) { return c.Since(answered), !answered.IsZero() },
-		Entries: func() (time.Duration, bool) { return c.Since(read), !read.IsZero() },
+		Clock: c, Log: log.New(io.Discard), MaxAge: 3900 * time.Millisecond, LongSilence: 5 * time.Second, Settle: 2 * time.Second,
+		EntriesDelay: 400 * time.Millisecond,
+		Age:          func() (time.Duration, bool) { return c.Since(answered), !answered.IsZero() },
+		EntriesAge:   func() (time.Duration, bool) { return c.Since(read), !read.IsZero() },
 	}
 	for c.Since(b) < 20*time.Second {
 		c.Advance(checkInterval)
@@ -39,7 +39,7 @@
 		if entries.contains(c.Since(b)) {
 			read = c.Now()
 		}
-		if s.Unheard() {
+		if s.ChangesMissing() {
 			missing += checkInterval
 		}
 	}
--- a/simulation/node.go
+++ b/simulation/node.go
@@ -70,13 +70,13 @@
 	}
 	n.quota = &quota.Quota{Clock: c, Account: n.account, Grant: n.grant, Hold: f.Hold, Borrow: n.startLoanRequest}
 	n.holding = &holding.Holding{
-		Clock: c, Self: n.self, Hold: f.Hold, StoreHold: f.StoreHold, Every: f.Heartbeat, Changing: n.quota.Sync,
-		Owed: loanDuration + loanDuration/10,
+		Clock: c, Self: n.self, Hold: f.Hold, StoreHold: f.StoreHold, Every: f.Heartbeat, BeforeChange: n.quota.RefillAll,
+		LoanDuration: loanDuration + loanDuration/10,
 	}
 	n.demand = &demand.Demand{Clock: c, Hold: f.Hold, Account: n.account}
 	n.author = &author.Author{
 		Clock: c, Log: f.logger, Platform: f.storeFor(number), Holding: n.holding, Alive: n.alive,
-		Config: func() *config.Config { return f.Config }, Demand: n.demand.Fractions, Listed: f.listed, Every: f.Poll, Least: f.Least,
+		Config: func() *config.Config { return f.Config }, Demand: n.demand.Fractions, Listed: f.listed, Every: f.Poll, MinEpochInterval: f.MinEpochInterval,
 	}
 	return n
 }
@@ -146,7 +146,7 @@
 	t := n.clock.Now()
 	if d := t.Sub(n.demandReportedAt); d >= time.Second {
 		n.demandReportedAt = t
-		n.demand.Note(n.self.Name, n.quota.Demands(min(d, time.Minute)))
+		n.demand.Record(n.self.Name, n.quota.Demands(min(d, time.Minute)))
 	}
 }
 
@@ -171,18 +171,18 @@
 
 func (n *node) newHeartbeat() heartbeat {
 	return heartbeat{
-		from: n, epoch: n.holding.Report(), leaving: n.leaving, alive: n.aliveAtHeartbeat, demand: n.demand.Of(n.self.Name),
+		from: n, epoch: n.holding.ReportEpoch(), leaving: n.leaving, alive: n.aliveAtHeartbeat, demand: n.demand.ForHost(n.self.Name),
 	}
 }
 
 func (n *node) receiveHeartbeat(m heartbeat, sent time.Time) {
 	n.contacts[m.from.self.Name] = contact{holder: m.from.self, number: m.from.number, receivedAt: n.clock.Now(), alive: m.alive, leaving: m.leaving}
-	n.demand.Note(m.from.self.Name, m.demand)
+	n.demand.Record(m.from.self.Name, m.demand)
 	e := m.epoch
 	if n.simulation.Report != nil {
 		e = n.simulation.Report(e, n.holding.Epoch())
 	}
-	n.holding.Heard(m.from.self.Name, m.from.self.Incarnation, e, sent)
+	n.holding.RecordPeerEpoch(m.from.self.Name, m.from.self.Incarnation, e, sent)
 	n.fetchDivision()
 }
 
@@ -190,7 +190,7 @@
 // Its content is transferred without additional delay, as part of the message
 // that is being processed.
 func (n *node) fetchDivision() {
-	if n.holding.Wanted() <= n.holding.Epoch() {
+	if n.holding.HighestKnownEpoch() <= n.holding.Epoch() {
 		return
 	}
 	for _, p := range n.simulation.nodes {
@@ -201,7 +201,7 @@
 			continue
 		}
 		if d, ok := p.holding.Current(); ok {
-			n.holding.Learn(d, time.Time{})
+			n.holding.ApplyDivision(d, time.Time{})
 		}
 	}
 }
@@ -213,7 +213,7 @@
 		t := n.clock.Now()
 		if d, ok := f.readLate(n.number); ok {
 			if e, ok := f.Delay(n.number, n.number); ok {
-				f.schedule(e, func() { n.execute(func() { n.holding.Learn(d, t) }) })
+				f.schedule(e, func() { n.execute(func() { n.holding.ApplyDivision(d, t) }) })
 			}
 		}
 		n.author.Step(context.Background())
@@ -327,7 +327,7 @@
 	d, _ := n.holding.Current()
 	var p []*node
 	for _, h := range loan.Lenders(n.self, l, d, r, n.demand.Fractions()[r]) {
-		if len(p) < loan.Tries {
+		if len(p) < loan.MaxLenders {
 			p = append(p, n.simulation.nodes[n.contacts[h.Name].number])
 		}
 	}
--- a/simulation/script_test.go
+++ b/simulation/script_test.go
@@ -27,7 +27,7 @@
 func newScriptState() *scriptState {
 	s := &scriptState{numbers: make(map[string]int), partitioned: make(map[string]bool), storeDown: make(map[string]bool)}
 	s.Simulation = &simulation.Simulation{
-		Hold: hold, StoreHold: time.Hour, Heartbeat: 200 * time.Millisecond, Poll: time.Second, Least: 2 * time.Second,
+		Hold: hold, StoreHold: time.Hour, Heartbeat: 200 * time.Millisecond, Poll: time.Second, MinEpochInterval: 2 * time.Second,
 		Config: newConfig(0.5, domains), Table: new(table.Table), Random: rand.New(rand.NewPCG(1, 1)), Delay: s.delay, Store: s.store,
 	}
 	return s
@@ -137,7 +137,7 @@
 // tolerance of 1%.
 func partIs(ts *testscript.TestScript, neg bool, a []string) {
 	s := stateOf(ts)
-	v, w := s.Holding(s.host(ts, a[0])).Part(a[1]), number(ts, a[2])
+	v, w := s.Holding(s.host(ts, a[0])).Fraction(a[1]), number(ts, a[2])
 	if ok := v > w-0.01 && v < w+0.01; ok == neg {
 		ts.Fatalf("%s uses %.4f of %s", a[0], v, a[1])
 	}
--- a/simulation/simulation.go
+++ b/simulation/simulation.go
@@ -42,7 +42,7 @@
 	Heartbeat time.Duration
 	Poll      time.Duration
 	// Least is the minimum time between epochs that only adjust parts to demand.
-	Least time.Duration
+	MinEpochInterval time.Duration
 	// Config is the configuration in force on all hosts.
 	Config *config.Config
 	// Table is the platform's table.
--- a/simulation/simulation_test.go
+++ b/simulation/simulation_test.go
@@ -52,7 +52,7 @@
 	m := &model{t: t, drift: drift, tokens: burst * int64(time.Second)}
 	r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 	m.Simulation = &simulation.Simulation{
-		Hold: hold, StoreHold: 20 * time.Second, Heartbeat: 200 * time.Millisecond, Poll: time.Second, Least: 2 * time.Second,
+		Hold: hold, StoreHold: 20 * time.Second, Heartbeat: 200 * time.Millisecond, Poll: time.Second, MinEpochInterval: 2 * time.Second,
 		Config: newConfig(0.5, domains), Table: new(table.Table), Random: r, Delay: m.delay, Store: m.store,
 		LateReads: true,
 	}
@@ -163,7 +163,7 @@
 			continue
 		}
 		h := m.Holding(i)
-		sum += h.Part("rate/a")
+		sum += h.Fraction("rate/a")
 		for d := range domains {
 			l := fmt.Sprintf("slots/d%d", d)
 			for _, k := range h.Slots(l, slots) {
--- a/slope/slope.go
+++ b/slope/slope.go
@@ -5,12 +5,12 @@
 // Slope is the line cost = Base + Each·n, where n is the size.
 type Slope struct {
 	// Base is the intercept, the cost at size zero.
-	Base float64
+	Intercept float64
 	// Each is the gradient, the cost per unit of size.
-	Each float64
+	Slope float64
 	// Fit is the coefficient of determination, 1 for a perfect fit. A low value
 	// means that the cost is not linear in the size and that At is unreliable.
-	Fit float64
+	RSquared float64
 }
 
 // New fits a line by least squares. It needs at least two different sizes. With a
@@ -24,20 +24,20 @@
 		t += (costs[i] - y) * (costs[i] - y)
 	}
 	if v == 0 {
-		return Slope{Base: y, Fit: 1}
+		return Slope{Intercept: y, RSquared: 1}
 	}
-	s := Slope{Each: c / v}
-	s.Base = y - s.Each*x
-	s.Fit = 1
+	s := Slope{Slope: c / v}
+	s.Intercept = y - s.Slope*x
+	s.RSquared = 1
 	if t > 0 {
-		s.Fit = c * c / (v * t)
+		s.RSquared = c * c / (v * t)
 	}
 	return s
 }
 
 // At returns the estimated cost at size n, at least zero.
 func (s Slope) At(n float64) float64 {
-	return max(0, s.Base+s.Each*n)
+	return max(0, s.Intercept+s.Slope*n)
 }
 
 func mean(v []float64) float64 {
--- a/slotloan/slotloan.go
+++ b/slotloan/slotloan.go
@@ -47,16 +47,16 @@
 	// Longest is the maximum duration of a loan. It must be shorter than the
 	// silence after which others may take over the lender's slots, otherwise a
 	// slot of a failed lender would be used twice.
-	Longest time.Duration
+	MaxLoan time.Duration
 	// Siblings returns hosts of the failure domain that probably have free slots
 	// of a service, the best candidate first.
-	Siblings func(service string) []member.Member
+	Lenders func(service string) []member.Member
 	// Ask sends a borrow or return request to a host.
-	Ask func(ctx context.Context, address string, b *wire.BorrowRequest) (*wire.BorrowResponse, error)
+	Send func(ctx context.Context, address string, b *wire.BorrowRequest) (*wire.BorrowResponse, error)
 	// Adopt returns a slot on a backend server that another host lent.
-	Adopt func(service, backend string, free func()) (slot.Slot, bool)
+	BorrowedSlot func(service, backend string, free func()) (slot.Slot, bool)
 	// Kick is called when a loan was granted to this host.
-	Kick func(service string)
+	OnBorrowed func(service string)
 	// Lend closes a free slot of this host to lend it.
 	Lend func(service string, d time.Duration) (backend string, back func(), ok bool)
 
@@ -94,7 +94,7 @@
 		return slot.Slot{}, false
 	}
 	// Outside the lock, because the balancer calls free under its own lock.
-	s, ok := l.Adopt(service, v.backend, func() { l.releaseBorrowed(v) })
+	s, ok := l.BorrowedSlot(service, v.backend, func() { l.releaseBorrowed(v) })
 	if !ok {
 		l.releaseBorrowed(v)
 	}
@@ -124,7 +124,7 @@
 		l.endLoan(b.Loan)
 		return &wire.BorrowResponse{Lender: l.Host}
 	}
-	d := min(time.Duration(b.ForNanoseconds), l.Longest)
+	d := min(time.Duration(b.ForNanoseconds), l.MaxLoan)
 	s := b.Limit[len(Prefix):]
 	l.mu.Lock()
 	_, a := l.lent[b.Loan]
@@ -168,7 +168,7 @@
 	if _, ok := l.requested[service]; ok || l.Clock.Since(l.refusedAt[service]) < refusedBackoff {
 		return
 	}
-	if until.Sub(l.Clock.Now()) > l.usable(l.Longest) {
+	if until.Sub(l.Clock.Now()) > l.usable(l.MaxLoan) {
 		return
 	}
 	select {
@@ -195,9 +195,9 @@
 		delete(l.requested, service)
 		l.mu.Unlock()
 	}()
-	for _, m := range l.Siblings(service) {
+	for _, m := range l.Lenders(service) {
 		if l.borrowFrom(ctx, m, service) {
-			l.Kick(service)
+			l.OnBorrowed(service)
 			return
 		}
 	}
@@ -213,8 +213,8 @@
 	// before it ends at the lender, however long the response takes.
 	t := l.Clock.Now()
 	v := &borrowedSlot{id: rand.Uint64(), service: service, address: m.PeerAddress, lastUsed: t}
-	r, err := l.Ask(x, m.PeerAddress, &wire.BorrowRequest{
-		Limit: Prefix + service, Units: 1, Borrower: l.Host, ForNanoseconds: int64(l.Longest), Loan: v.id,
+	r, err := l.Send(x, m.PeerAddress, &wire.BorrowRequest{
+		Limit: Prefix + service, Units: 1, Borrower: l.Host, ForNanoseconds: int64(l.MaxLoan), Loan: v.id,
 	})
 	if err != nil || r.Units == 0 {
 		return false
@@ -235,7 +235,7 @@
 	for _, v := range l.removeUnused() {
 		x, f := clockwork.WithTimeout(ctx, l.Clock, requestTimeout)
 		// If the message is lost, the loan ends at its deadline.
-		_, _ = l.Ask(x, v.address, &wire.BorrowRequest{Limit: Prefix + v.service, Borrower: l.Host, Loan: v.id, Returned: true})
+		_, _ = l.Send(x, v.address, &wire.BorrowRequest{Limit: Prefix + v.service, Borrower: l.Host, Loan: v.id, Returned: true})
 		f()
 	}
 }
--- a/slotloan/slotloan_test.go
+++ b/slotloan/slotloan_test.go
@@ -67,14 +67,14 @@
 	for i, n := range []string{"one", "two", "three"} {
 		h := &host{domain: x, name: n, speed: []float64{0.99, 1, 1.01}[i], clock: clockwork.NewFakeClock(), owned: []int{2, 1, 1}[i]}
 		h.balancer = &balancer.Balancer{
-			Clock: h.clock, Backends: func() []backend.Backend { return x.list }, Released: func() {},
+			Clock: h.clock, Backends: func() []backend.Backend { return x.list }, OnReleased: func() {},
 			Slots: func(backend.Backend) int { return h.owned },
 		}
 		h.loan = &Slotloan{
-			Clock: h.clock, Host: n, Longest: takeoverDelay - 300*time.Millisecond, Ask: x.send, Kick: func(string) {},
-			Siblings: func(string) []member.Member { return x.siblings(h) },
-			Adopt:    func(_, b string, f func()) (slot.Slot, bool) { return h.balancer.Adopt(b, f) },
-			Lend:     h.lend,
+			Clock: h.clock, Host: n, MaxLoan: takeoverDelay - 300*time.Millisecond, Send: x.send, OnBorrowed: func(string) {},
+			Lenders:      func(string) []member.Member { return x.siblings(h) },
+			BorrowedSlot: func(_, b string, f func()) (slot.Slot, bool) { return h.balancer.BorrowedSlot(b, f) },
+			Lend:         h.lend,
 		}
 		x.hosts = append(x.hosts, h)
 	}
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -37,7 +37,7 @@
 	s := &Snapshot{
 		Config:   c,
 		Hash:     hash,
-		Preset:   c.InForce(),
+		Preset:   c.ActivePreset(),
 		keys:     make(map[string]credential.Credential, len(c.Keys)),
 		accounts: make(map[string]account.Account, len(c.Accounts)),
 		services: make(map[string]service.Service, len(c.Services)),
@@ -94,13 +94,13 @@
 }
 
 // Named returns a service by name.
-func (s *Snapshot) Named(name string) (service.Service, bool) {
+func (s *Snapshot) ServiceByName(name string) (service.Service, bool) {
 	v, ok := s.services[name]
 	return v, ok
 }
 
 // Service returns the service with the longest prefix of path.
-func (s *Snapshot) Service(path string) (service.Service, bool) {
+func (s *Snapshot) ServiceByPath(path string) (service.Service, bool) {
 	var b service.Service
 	ok := false
 	for _, v := range s.Config.Services {
--- a/span/span.go
+++ b/span/span.go
@@ -5,7 +5,7 @@
 
 // Whole is the length of a complete limit. Every limit is an interval [0,
 // Whole), whatever its unit.
-const Whole = 1 << 20
+const FullLength = 1 << 20
 
 // Span is the interval [From, To) of a limit.
 type Span struct {
@@ -107,7 +107,7 @@
 }
 
 // Equal splits s into n pieces whose lengths differ by at most one.
-func Equal(s []Span, n int) [][]Span {
+func SplitEqually(s []Span, n int) [][]Span {
 	r := make([][]Span, n)
 	l := Length(s)
 	for i := range n {
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -47,7 +47,7 @@
 }
 
 // Set replaces the simulated faults.
-func (s *Standin) Set(k knobs.Knobs) {
+func (s *Standin) SetFaults(k knobs.Knobs) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.knobs = k
@@ -102,7 +102,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.Set(k)
+	s.SetFaults(k)
 }
 
 func (s *Standin) commit(w http.ResponseWriter, b []byte) {
--- a/streampool/streampool.go
+++ b/streampool/streampool.go
@@ -35,7 +35,7 @@
 	PerAddress int
 	// Dials limits the connections that are opened at the same time, so that an
 	// unresponsive region cannot block every waiting request in a dial.
-	Dials int
+	MaxDials int
 
 	mu      sync.Mutex
 	idle    map[string][]idleConn
@@ -91,7 +91,7 @@
 // dial opens a connection unless Dials connections are being opened.
 func (p *Streampool) dial(ctx context.Context, address string) (*drpcconn.Conn, error) {
 	p.mu.Lock()
-	if p.dialing >= p.Dials {
+	if p.dialing >= p.MaxDials {
 		p.mu.Unlock()
 		return nil, ErrBusy
 	}
--- a/streampool/streampool_test.go
+++ b/streampool/streampool_test.go
@@ -35,7 +35,7 @@
 	d := make(chan error, 1)
 	go func() { d <- s.Run(x) }()
 	r.pool = &Streampool{
-		Clock: r.clock, Idle: time.Second, PerAddress: 1, Dials: 1,
+		Clock: r.clock, Idle: time.Second, PerAddress: 1, MaxDials: 1,
 		Dial: func(ctx context.Context, a string) (net.Conn, error) {
 			r.dials++
 			var n net.Dialer
--- a/stress/caller.go
+++ b/stress/caller.go
@@ -101,7 +101,7 @@
 		return "BadRequest", attemptResult{}
 	}
 	q.Header.Set("Authorization", "Bearer "+s.fleet.Keys[accountName])
-	q.Header.Set(backendstandin.JudgeHeader, id)
+	q.Header.Set(backendstandin.AttemptHeader, id)
 	if o.id != "" {
 		q.Header.Set("Idempotency-Key", o.id)
 	}
--- a/stress/faults.go
+++ b/stress/faults.go
@@ -70,7 +70,7 @@
 	if i%largeAnswerInterval == 0 {
 		v.knobs.Bytes = largeAnswerBytes
 	}
-	s.fleet.Backend(b[i]).Set(v.knobs)
+	s.fleet.Backend(b[i]).SetFaults(v.knobs)
 	s.faultCounts[v.name]++
 }
 
@@ -84,10 +84,10 @@
 		{"store-loses-answers", knobs.Knobs{LoseAnswers: 1 + r.IntN(maxLostAnswers)}},
 	}
 	v := f[r.IntN(len(f))]
-	s.fleet.Platform.Set(v.knobs)
+	s.fleet.Platform.SetFaults(v.knobs)
 	s.faultCounts[v.name]++
 	s.pause(ctx, faultDuration)
-	s.fleet.Platform.Set(knobs.Knobs{})
+	s.fleet.Platform.SetFaults(knobs.Knobs{})
 }
 
 func (s *Stress) restartRandomHost(r *rand.Rand) error {
@@ -111,7 +111,7 @@
 	i := r.IntN(len(d))
 	a, b := d[i].Name, d[(i+1)%len(d)].Name
 	s.faultCounts["domains-cut"]++
-	s.fleet.Cut(a, b)
+	s.fleet.Partition(a, b)
 	s.pause(ctx, faultDuration)
 	s.fleet.Heal(a, b)
 }
--- a/stress/leave_test.go
+++ b/stress/leave_test.go
@@ -24,8 +24,8 @@
 	c.Domains = c.Domains[:1]
 	f := &fleet.Fleet{
 		Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), Config: c, HostsPerDomain: 2, BackendsPerService: 1,
-		Slots: 4, Work: 1500 * time.Millisecond,
-		Adjust: func(s *settings.Settings) { s.Heartbeat = 50 * time.Millisecond },
+		Slots: 4, RequestDuration: 1500 * time.Millisecond,
+		AdjustSettings: func(s *settings.Settings) { s.Heartbeat = 50 * time.Millisecond },
 	}
 	must.NoError(t, f.Start(t.Context()))
 	defer f.Stop() //nolint:errcheck // the shutdown under test has reported its own end
@@ -44,7 +44,7 @@
 		v.code, v.body, v.err = f.Send(t.Context(), h[0], accountName, http.MethodPost, "/enrolments/1", "enrolment-1")
 		a <- v
 	}()
-	must.NoError(t, f.Await(t.Context(), "the enrolment to run", func() bool { return f.Runs()["enrolment-1"] == 1 }))
+	must.NoError(t, f.Await(t.Context(), "the enrolment to run", func() bool { return f.RunCounts()["enrolment-1"] == 1 }))
 	e := make(chan error, 1)
 	go func() { e <- f.StopHost(h[0]) }()
 	must.NoError(t, f.Await(t.Context(), "look-ups to omit the host", func() bool {
@@ -60,5 +60,5 @@
 	must.NoError(t, v.err)
 	must.Eq(t, http.StatusOK, v.code, must.Sprint(v.body))
 	must.NoError(t, <-e)
-	must.Eq(t, 1, f.Runs()["enrolment-1"])
+	must.Eq(t, 1, f.RunCounts()["enrolment-1"])
 }
--- a/stress/stress.go
+++ b/stress/stress.go
@@ -69,7 +69,7 @@
 func (s *Stress) Run(ctx context.Context) error {
 	s.fleet = &fleet.Fleet{
 		Clock: s.Clock, Log: s.Log, Config: newConfig(), HostsPerDomain: hostsPerDomain, BackendsPerService: backendsPerService,
-		Slots: slotsPerBackend, Work: backendWork,
+		Slots: slotsPerBackend, RequestDuration: backendWork,
 	}
 	err := s.fleet.Start(ctx)
 	if err == nil {
@@ -94,7 +94,7 @@
 func (s *Stress) enableLargeAnswers() {
 	for i, b := range s.backendNames() {
 		if i%largeAnswerInterval == 0 {
-			s.fleet.Backend(b).Set(backendknobs.Backendknobs{Bytes: largeAnswerBytes})
+			s.fleet.Backend(b).SetFaults(backendknobs.Backendknobs{Bytes: largeAnswerBytes})
 		}
 	}
 }
@@ -142,7 +142,7 @@
 }
 
 func (s *Stress) report() error {
-	v := s.checker.findViolations(s.fleet.Runs())
+	v := s.checker.findViolations(s.fleet.RunCounts())
 	fmt.Fprintf(s.Out, "seed %d: %d requests, %d attempts\n", s.Seed, s.Requests, len(s.checker.results))
 	printCounts(s.Out, "ended", s.checker.outcomeCounts)
 	printCounts(s.Out, "fault", s.faultCounts)
--- a/target/target.go
+++ b/target/target.go
@@ -7,7 +7,7 @@
 // Target is the size of a deployment and its resource budgets for the control plane.
 type Target struct {
 	// Nodes is the number of hosts.
-	Nodes float64
+	Hosts float64
 	// Blocks is the number of client blocks.
 	Blocks float64
 	// Sites is the number of locations in which hosts are installed.
@@ -21,11 +21,11 @@
 	// Changes is the number of configuration changes per second.
 	Changes float64
 	// InForce is the time within which a change takes effect on all hosts.
-	InForce time.Duration
+	PropagationTime time.Duration
 	// Core is the fraction of a CPU core that the control plane may use on a host.
 	Core float64
 	// Bytes is the memory that the control plane may use on a host.
-	Bytes float64
+	Memory float64
 	// Traffic is the number of bytes per second that a host may send for the
 	// control plane.
 	Traffic float64
@@ -34,7 +34,7 @@
 	// StoreReads is the number of reads per second that the platform accepts.
 	StoreReads float64
 	// Replaced is the number of hosts restarted or replaced per second.
-	Replaced float64
+	Replacements float64
 }
 
 const secondsPerDay = 24 * 60 * 60
@@ -42,9 +42,9 @@
 // New returns the target that the users stated.
 func New() Target {
 	return Target{
-		Nodes: 7_900, Blocks: 2_200_000, Sites: 850, Regions: 9, Domains: 27,
-		Lookups: 3_300_000, Changes: 27_000.0 / secondsPerDay, InForce: 13 * time.Second,
-		Core: 0.029, Bytes: 256 << 20, Traffic: 10_000,
-		StoreWrites: 300, StoreReads: 2_000, Replaced: 2_230.0 / secondsPerDay,
+		Hosts: 7_900, Blocks: 2_200_000, Sites: 850, Regions: 9, Domains: 27,
+		Lookups: 3_300_000, Changes: 27_000.0 / secondsPerDay, PropagationTime: 13 * time.Second,
+		Core: 0.029, Memory: 256 << 20, Traffic: 10_000,
+		StoreWrites: 300, StoreReads: 2_000, Replacements: 2_230.0 / secondsPerDay,
 	}
 }
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -43,14 +43,14 @@
 	// Incarnation is the incarnation of this host.
 	Incarnation uint64
 	// Find returns the caller address of a process that is still running.
-	Find func(host string, incarnation uint64) (address string, ok bool)
+	HostAddress func(host string, incarnation uint64) (address string, ok bool)
 	// Lifetime is how long a ticket may be used and its answer replayed.
 	Lifetime time.Duration
 	// Bytes limits the memory for recorded answers. Answers beyond it are not
 	// recorded, but their tickets still count as used.
-	Bytes int
+	MaxAnswerBytes int
 	// Limit is the maximum number of used tickets in memory.
-	Limit int
+	MaxUsed int
 
 	mu           sync.Mutex
 	secret       []byte
@@ -81,7 +81,7 @@
 }
 
 // Mint returns n new tickets for a client account.
-func (t *Ticket) Mint(account string, n int) []string {
+func (t *Ticket) Issue(account string, n int) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire()
@@ -132,7 +132,7 @@
 		close(u.done)
 		return
 	}
-	if t.keptBytes+answerSize(r) > t.Bytes {
+	if t.keptBytes+answerSize(r) > t.MaxAnswerBytes {
 		r.State = record.Large
 		r.Body = nil
 		r.Header = nil
@@ -156,7 +156,7 @@
 	if u := t.claims[n]; u != nil {
 		return u, false, outcome.Outcome{}
 	}
-	if len(t.claims) >= t.Limit {
+	if len(t.claims) >= t.MaxUsed {
 		return nil, false, outcome.Outcome{
 			Outcome: outcome.NoCapacity, Ran: outcome.RanNo,
 			Message: "too many tickets are in use", RetryAfter: time.Second,
@@ -193,7 +193,7 @@
 // foreignOutcome returns the outcome for a ticket that another process issued.
 func (t *Ticket) foreignOutcome(p []string) outcome.Outcome {
 	i, err := strconv.ParseUint(p[2], 36, 64)
-	if a, ok := t.Find(p[1], i); ok && err == nil {
+	if a, ok := t.HostAddress(p[1], i); ok && err == nil {
 		return outcome.Outcome{
 			Outcome: outcome.TicketElsewhere, Ran: outcome.RanUnknown,
 			Message: "only the host that issued the ticket can run it", EntryHosts: []string{a},
--- a/ticket/ticket_test.go
+++ b/ticket/ticket_test.go
@@ -15,8 +15,8 @@
 
 func newTicket(c clockwork.Clock) *ticket.Ticket {
 	return &ticket.Ticket{
-		Clock: c, Host: "a", Incarnation: 7, Lifetime: time.Minute, Bytes: 100, Limit: 4,
-		Find: func(string, uint64) (string, bool) { return "", false },
+		Clock: c, Host: "a", Incarnation: 7, Lifetime: time.Minute, MaxAnswerBytes: 100, MaxUsed: 4,
+		HostAddress: func(string, uint64) (string, bool) { return "", false },
 	}
 }
 
@@ -34,7 +34,7 @@
 		for range 60 {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				ids = append(ids, x.Mint("camp", 1)...)
+				ids = append(ids, x.Issue("camp", 1)...)
 			case 1:
 				if len(ids) == 0 {
 					continue
@@ -71,7 +71,7 @@
 // answers exceed the memory limit; only the answer is not replayed.
 func TestAnswersBeyondMemory(t *testing.T) {
 	x := newTicket(clockwork.NewFakeClock())
-	for i, id := range x.Mint("camp", 3) {
+	for i, id := range x.Issue("camp", 3) {
 		r, o := x.Begin(t.Context(), "camp", id, "attempt", "digest")
 		must.Eq(t, "", o.Outcome)
 		r.State = record.Done
--- a/tokens/load_test.go
+++ b/tokens/load_test.go
@@ -82,18 +82,18 @@
 // connect lets hosts borrow from randomly chosen holders and lend them tokens later.
 func (m *model) connect(r *rand.Rand) {
 	for i, h := range m.hosts {
-		h.Ask = func(account string, n, urgent int64, holders []string) bool {
+		h.StartBorrowing = func(account string, n, urgent int64, holders []string) bool {
 			m.deferCall(func() {
 				for range 4 {
 					j := index(holders[r.IntN(len(holders))])
 					if j != i && n > 0 {
-						g := m.hosts[j].Give(name(i), account, n, urgent)
+						g := m.hosts[j].LendTo(name(i), account, n, urgent)
 						h.Receive(account, g)
 						n -= g
 						urgent = max(urgent-g, 0)
 					}
 				}
-				h.Asked(account)
+				h.BorrowingDone(account)
 			})
 			return true
 		}
--- a/tokens/loan_test.go
+++ b/tokens/loan_test.go
@@ -16,7 +16,7 @@
 func startRequest(t *testing.T, m *model) <-chan bool {
 	r := make(chan bool, 1)
 	asked := make(chan struct{}, 1)
-	m.hosts[0].Ask = func(string, int64, int64, []string) bool {
+	m.hosts[0].StartBorrowing = func(string, int64, int64, []string) bool {
 		asked <- struct{}{}
 		return true
 	}
@@ -48,8 +48,8 @@
 func TestWaitsForALoan(t *testing.T) {
 	m := drainedModel(2)
 	r := startRequest(t, m)
-	m.hosts[0].Receive(unity, m.hosts[1].Give(name(0), unity, 1, 0))
-	m.hosts[0].Asked(unity)
+	m.hosts[0].Receive(unity, m.hosts[1].LendTo(name(0), unity, 1, 0))
+	m.hosts[0].BorrowingDone(unity)
 	must.True(t, <-r)
 }
 
@@ -58,7 +58,7 @@
 func TestRefusedWhenNoHostHasTokens(t *testing.T) {
 	m := drainedModel(2)
 	r := startRequest(t, m)
-	m.hosts[0].Asked(unity)
+	m.hosts[0].BorrowingDone(unity)
 	must.False(t, <-r)
 }
 
@@ -80,7 +80,7 @@
 	m := drainedModel(2)
 	first := startRequest(t, m)
 	var asked []int64
-	m.hosts[0].Ask = func(_ string, n, _ int64, _ []string) bool {
+	m.hosts[0].StartBorrowing = func(_ string, n, _ int64, _ []string) bool {
 		asked = append(asked, n)
 		return true
 	}
@@ -94,7 +94,7 @@
 	must.NoError(t, m.clock.BlockUntilContext(t.Context(), 3))
 	m.hosts[0].Receive(unity, 1)
 	must.True(t, <-first)
-	m.hosts[0].Asked(unity)
+	m.hosts[0].BorrowingDone(unity)
 	must.Eq(t, []int64{20}, asked)
 	m.hosts[0].Receive(unity, 2)
 	must.True(t, <-rest)
@@ -109,14 +109,14 @@
 	for range 20 {
 		m.take(1)
 	}
-	must.EqOp(t, 0, m.hosts[1].Give(name(0), unity, 5, 0))
+	must.EqOp(t, 0, m.hosts[1].LendTo(name(0), unity, 5, 0))
 	var host string
 	var units int64
 	m.hosts[1].Lend = func(h, _ string, n int64) { host, units = h, n }
 	for range 9 {
 		m.clock.Advance(300 * time.Millisecond)
 		m.hosts[1].Refill()
-		m.hosts[1].Give(name(0), unity, 5, 0)
+		m.hosts[1].LendTo(name(0), unity, 5, 0)
 	}
 	m.clock.Advance(300 * time.Millisecond)
 	m.hosts[1].Refill()
--- a/tokens/tokens.go
+++ b/tokens/tokens.go
@@ -37,7 +37,7 @@
 	// Ask starts to borrow n tokens from hosts among holders; requests wait for urgent
 	// of them. It passes borrowed tokens to Receive and calls Asked at the end. It must
 	// not block, and returns false if it does nothing.
-	Ask func(account string, n, urgent int64, holders []string) bool
+	StartBorrowing func(account string, n, urgent int64, holders []string) bool
 	// Lend sends tokens to another host. It must not block.
 	Lend func(host, account string, n int64)
 
@@ -147,7 +147,7 @@
 }
 
 // Return gives back the token of a request that was not executed.
-func (t *Tokens) Return(name string) {
+func (t *Tokens) Refund(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.accounts[name]; e != nil {
@@ -158,7 +158,7 @@
 
 // Give takes up to n tokens out of the bucket for another host, where requests wait for
 // urgent of them. The host may get the remainder later.
-func (t *Tokens) Give(host, name string, n, urgent int64) int64 {
+func (t *Tokens) LendTo(host, name string, n, urgent int64) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.accounts[name]
@@ -186,7 +186,7 @@
 // Asked ends an attempt to borrow, after all hosts that were asked have answered. If
 // they lent tokens but requests still wait, they are asked once more; if they lent
 // none, the waiting requests are refused.
-func (t *Tokens) Asked(name string) {
+func (t *Tokens) BorrowingDone(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.accounts[name]
@@ -222,11 +222,11 @@
 // borrow starts to borrow tokens if the host needs any, and reports whether it did.
 func (t *Tokens) borrow(e *entry, now time.Time) bool {
 	n, u := e.deficit()
-	if n <= 0 || t.Ask == nil {
+	if n <= 0 || t.StartBorrowing == nil {
 		return false
 	}
 	e.lastBorrow = now
 	e.received = false
-	e.borrowing = t.Ask(e.account.Name, n, u, e.holders)
+	e.borrowing = t.StartBorrowing(e.account.Name, n, u, e.holders)
 	return e.borrowing
 }
--- a/tokens/tokens_test.go
+++ b/tokens/tokens_test.go
@@ -78,13 +78,13 @@
 		}
 	case "lend":
 		j := rapid.IntRange(0, len(m.hosts)-1).Draw(t, "to")
-		n := m.hosts[i].Give(name(j), unity, 10, 0)
+		n := m.hosts[i].LendTo(name(j), unity, 10, 0)
 		m.hosts[j].Receive(unity, n)
 		if m.leak {
 			m.hosts[i].Receive(unity, n)
 		}
 	case "lose":
-		m.hosts[i].Give("", unity, 10, 0) // the response is lost
+		m.hosts[i].LendTo("", unity, 10, 0) // the response is lost
 	case "restart":
 		m.hosts[i] = m.host(i)
 	case "wait":
@@ -139,7 +139,7 @@
 		m.take(1)
 	}
 	for range 5 {
-		n := m.hosts[0].Give(name(1), unity, 10, 0)
+		n := m.hosts[0].LendTo(name(1), unity, 10, 0)
 		m.hosts[1].Receive(unity, n)
 		m.hosts[0].Receive(unity, n)
 		for range 10 {
@@ -174,7 +174,7 @@
 func TestBorrowsBeforeBucketIsEmpty(t *testing.T) {
 	m := newModel(4, 100, 100)
 	var asked int64
-	m.hosts[0].Ask = func(_ string, n, _ int64, _ []string) bool {
+	m.hosts[0].StartBorrowing = func(_ string, n, _ int64, _ []string) bool {
 		asked += n
 		return true
 	}
@@ -188,7 +188,7 @@
 		must.True(t, ok)
 	}
 	must.Positive(t, asked)
-	n := m.hosts[1].Give(name(0), unity, asked, 0)
+	n := m.hosts[1].LendTo(name(0), unity, asked, 0)
 	must.Positive(t, n)
 	m.hosts[0].Receive(unity, n)
 	for range 16 {
@@ -209,7 +209,7 @@
 	}
 	for range 2 {
 		for _, h := range m.hosts {
-			for range h.Give("caller's", unity, 48, 48) {
+			for range h.LendTo("caller's", unity, 48, 48) {
 				m.admitted = append(m.admitted, m.clock.Now())
 			}
 		}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -43,7 +43,7 @@
 
 // ErrElsewhere is returned if the address now belongs to another backend server, which
 // did not run the request.
-var ErrElsewhere = errors.New("another backend server has the address")
+var ErrWrongBackend = errors.New("another backend server has the address")
 
 // Upstream sends requests through the transports of net/http.
 type Upstream struct {
@@ -54,21 +54,21 @@
 	// Dress sets the header fields that a backend server receives in addition to those
 	// of the caller; left is the time until the deadline. Nil sets IDHeader and
 	// TimeoutHeader.
-	Dress func(h http.Header, r *request.Request, b backend.Backend, left time.Duration)
+	SetHeaders func(h http.Header, r *request.Request, b backend.Backend, left time.Duration)
 	// Verdict checks a response. It returns ErrNotRun, or the reason why the response
 	// cannot be passed on. Nil applies the rules of this package.
-	Verdict func(p *http.Response, r *request.Request, b backend.Backend) (ran bool, err error)
+	CheckResponse func(p *http.Response, r *request.Request, b backend.Backend) (ran bool, err error)
 	// Keep allows kept-alive connections for non-idempotent requests too.
-	Keep bool
+	ReuseForNonIdempotent bool
 	// Dial opens a connection to a backend server; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// Heard is called with the header of each response that is proven to be from b,
 	// and with the time at which its request was sent. Served is false if b refused
 	// the request without running it, or failed. Nil disables the call.
-	Heard func(b backend.Backend, sent time.Time, h http.Header, served bool)
+	OnResponse func(b backend.Backend, sent time.Time, h http.Header, served bool)
 	// Repeated is called when net/http by itself sends a request to b again on another
 	// connection. Nil disables the call.
-	Repeated func(b backend.Backend)
+	OnTransportRetry func(b backend.Backend)
 
 	// keepAlive reuses idle connections; singleUse opens one for each request.
 	keepAlive http.Transport
@@ -101,18 +101,18 @@
 // byte was written and none can be written later, or b itself reports it.
 func (u *Upstream) Send(ctx context.Context, r *request.Request, b backend.Backend, fresh bool) (p *http.Response, ran bool, err error) {
 	c := &connTracker{onRepeat: func() {
-		if u.Repeated != nil {
-			u.Repeated(b)
+		if u.OnTransportRetry != nil {
+			u.OnTransportRetry(b)
 		}
 	}}
 	x := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: c.gotConn})
-	y := &body{reader: r.Body, readStarted: r.Touched}
+	y := &body{reader: r.Body, readStarted: r.BodyReadStarted}
 	q, err := u.newRequest(x, r, b, y)
 	if err != nil {
 		return nil, false, err
 	}
 	t := &u.keepAlive
-	if fresh || r.NonIdempotent && !u.Keep {
+	if fresh || r.NonIdempotent && !u.ReuseForNonIdempotent {
 		t = &u.singleUse
 	}
 	s := u.Clock.Now()
@@ -133,8 +133,8 @@
 // reportAnswer passes the header of a response to Heard if the response is proven to
 // be from b.
 func (u *Upstream) reportAnswer(b backend.Backend, sent time.Time, p *http.Response, err error) {
-	if u.Heard != nil && (err == nil || errors.Is(err, ErrNotRun)) {
-		u.Heard(b, sent, p.Header, err == nil && p.StatusCode < http.StatusInternalServerError)
+	if u.OnResponse != nil && (err == nil || errors.Is(err, ErrNotRun)) {
+		u.OnResponse(b, sent, p.Header, err == nil && p.StatusCode < http.StatusInternalServerError)
 	}
 }
 
@@ -155,8 +155,8 @@
 		q.Host = r.Host
 	}
 	d := r.Deadline.Sub(u.Clock.Now())
-	if u.Dress != nil {
-		u.Dress(q.Header, r, b, d)
+	if u.SetHeaders != nil {
+		u.SetHeaders(q.Header, r, b, d)
 	} else {
 		q.Header.Set(IDHeader, r.ID)
 		q.Header.Set(TimeoutHeader, d.String())
@@ -170,8 +170,8 @@
 
 // checkAnswer applies Verdict, or the rules of this package if it is nil.
 func (u *Upstream) checkAnswer(p *http.Response, r *request.Request, b backend.Backend) (ran bool, err error) {
-	if u.Verdict != nil {
-		return u.Verdict(p, r, b)
+	if u.CheckResponse != nil {
+		return u.CheckResponse(p, r, b)
 	}
 	return u.checkEcho(p, r, b)
 }
--- a/validate/validate_test.go
+++ b/validate/validate_test.go
@@ -15,7 +15,7 @@
 // Each file holds a configuration and all mistakes in it. An operator who sends it
 // must see all of them at once, each with its field.
 func TestConfig(t *testing.T) {
-	golden.Play(t, func(t *testing.T, p [][]byte) string {
+	golden.Run(t, func(t *testing.T, p [][]byte) string {
 		var c config.Config
 		must.NoError(t, codec.Unmarshal(p[0], &c))
 		m := validate.Config(&c)
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -10,15 +10,15 @@
 	// to be warm.
 	Began time.Time
 	// For is how long the backend server takes to reach full speed.
-	For time.Duration
+	Duration time.Duration
 }
 
 // Slots returns how many of n slots may be used at time now. The number grows linearly
 // from one to n.
 func (w Warmup) Slots(n int, now time.Time) int {
 	t := max(0, now.Sub(w.Began))
-	if w.Began.IsZero() || t >= w.For || n <= 1 {
+	if w.Began.IsZero() || t >= w.Duration || n <= 1 {
 		return n
 	}
-	return 1 + int(float64(n-1)*float64(t)/float64(w.For))
+	return 1 + int(float64(n-1)*float64(t)/float64(w.Duration))
 }
--- a/whole/whole.go
+++ b/whole/whole.go
@@ -25,9 +25,9 @@
 // Errors of Copy.
 var (
 	// ErrBackend is a response that was truncated before any part of it was passed on.
-	ErrBackend = errors.New("the answer broke off")
+	ErrTruncated = errors.New("the answer broke off")
 	// ErrBroken is a response that was truncated after its header was passed on.
-	ErrBroken = errors.New("the answer broke off after its head")
+	ErrTruncatedAfterHeader = errors.New("the answer broke off after its head")
 	// ErrCaller is a caller that stopped reading.
 	ErrCaller = errors.New("the caller stopped reading")
 )
@@ -37,30 +37,30 @@
 	// Clock sets write deadlines.
 	Clock clockwork.Clock
 	// Limit is how many bytes of a response are buffered until it is complete.
-	Limit int
+	BufferLimit int
 	// Patience is how long a caller may take to read one buffer: a caller that has
 	// stopped reading must not occupy a slot.
-	Patience time.Duration
+	WriteTimeout time.Duration
 	// Unframed allows responses that have neither a length nor chunked encoding and
 	// end when their connection is closed. It is for backend servers that reset the
 	// connection of a truncated response, so that a regular end can be recognized.
-	Unframed bool
+	AllowUndelimited bool
 }
 
 // Copy writes response p to w. It calls free once, when the backend server will send
 // no more of p; for buffered responses that is before the caller reads.
 func (o *Whole) Copy(w http.ResponseWriter, p *http.Response, free func(error)) error {
 	defer p.Body.Close()
-	if !o.Unframed && !delimited(p) {
-		free(ErrBackend)
-		return errors.Wrap(ErrBackend, "the answer has neither Content-Length nor chunked encoding, so truncation cannot be detected")
+	if !o.AllowUndelimited && !delimited(p) {
+		free(ErrTruncated)
+		return errors.Wrap(ErrTruncated, "the answer has neither Content-Length nor chunked encoding, so truncation cannot be detected")
 	}
-	b, err := io.ReadAll(io.LimitReader(p.Body, int64(o.Limit)+1))
+	b, err := io.ReadAll(io.LimitReader(p.Body, int64(o.BufferLimit)+1))
 	if err != nil {
-		free(ErrBackend)
-		return errors.Wrap(ErrBackend, err.Error())
+		free(ErrTruncated)
+		return errors.Wrap(ErrTruncated, err.Error())
 	}
-	if len(b) <= o.Limit {
+	if len(b) <= o.BufferLimit {
 		free(nil)
 		if p.Request != nil && p.Request.Method == http.MethodHead {
 			writeHeader(w, p.StatusCode, p.Header, p.ContentLength)
@@ -93,7 +93,7 @@
 	r := make([]byte, streamBufferBytes)
 	for {
 		// Not every writer supports deadlines; streams between hosts do not.
-		_ = c.SetWriteDeadline(o.Clock.Now().Add(o.Patience))
+		_ = c.SetWriteDeadline(o.Clock.Now().Add(o.WriteTimeout))
 		if _, err := w.Write(b); err != nil {
 			return errors.Wrap(ErrCaller, err.Error())
 		}
@@ -107,7 +107,7 @@
 			return nil
 		}
 		if err != nil {
-			return errors.Wrap(ErrBroken, err.Error())
+			return errors.Wrap(ErrTruncatedAfterHeader, err.Error())
 		}
 	}
 }
