--- a/accepted/accepted.go
+++ b/acceptedversion/acceptedversion.go
@@ -1,6 +1,6 @@
 // Package accepted describes the table rows that name the accepted version of a
 // versioned content: the configuration, the plan, the client blocks.
-package accepted
+package acceptedversion
 
 import (
 	"crypto/sha256"
@@ -21,7 +21,7 @@
 const RecentVersions = 32
 
 // Accepted is the value of a row.
-type Accepted struct {
+type Acceptedversion struct {
 	// Version is the accepted version.
 	Version uint64
 	// Hash is the SHA-256 of the content, which is stored as the object
@@ -35,7 +35,7 @@
 
 // HashOf returns the hash that was accepted as the given version, if the row
 // still contains it.
-func (a Accepted) HashOf(version uint64) (string, bool) {
+func (a Acceptedversion) HashOf(version uint64) (string, bool) {
 	if version == a.Version {
 		return a.Hash, true
 	}
@@ -46,8 +46,8 @@
 }
 
 // Next returns the row that follows a.
-func (a Accepted) Next(hash string) Accepted {
-	n := Accepted{Version: a.Version + 1, Hash: hash}
+func (a Acceptedversion) Next(hash string) Acceptedversion {
+	n := Acceptedversion{Version: a.Version + 1, Hash: hash}
 	if a.Version > 0 {
 		n.Recent = append([]string{a.Hash}, a.Recent[:min(len(a.Recent), RecentVersions-1)]...)
 	}
--- a/accepted/written_test.go
+++ b/acceptedversion/written_test.go
@@ -1,4 +1,4 @@
-package accepted
+package acceptedversion
 
 import (
 	"testing"
@@ -9,7 +9,7 @@
 )
 
 func TestWritten(t *testing.T) {
-	writtenform.Check(t, "accepted", new(Accepted))
+	writtenform.Check(t, "accepted", new(Acceptedversion))
 }
 
 func TestTexts(t *testing.T) {
--- a/tried/tried.go
+++ b/attempted/attempted.go
@@ -1,17 +1,17 @@
 // Package tried records which backend servers a request was sent to.
-package tried
+package attempted
 
 import "sync"
 
 // Tried is shared by all attempts of one request, so that a second attempt goes to a
 // backend server other than the first. A nil Tried is empty.
-type Tried struct {
+type Attempted struct {
 	mu    sync.Mutex
 	names map[string]bool
 }
 
 // Add records a backend server.
-func (t *Tried) Add(name string) {
+func (t *Attempted) Add(name string) {
 	if t == nil {
 		return
 	}
@@ -24,7 +24,7 @@
 }
 
 // Has reports whether the request was sent to the backend server.
-func (t *Tried) Has(name string) bool {
+func (t *Attempted) Has(name string) bool {
 	if t == nil {
 		return false
 	}
@@ -34,7 +34,7 @@
 }
 
 // Names returns the names of the backend servers in no particular order.
-func (t *Tried) Names() []string {
+func (t *Attempted) Names() []string {
 	if t == nil {
 		return nil
 	}
--- a/admission/admission.go
+++ b/authenticator/authenticator.go
@@ -1,6 +1,6 @@
 // Package admission identifies the client account of a request by its API key and
 // removes the key from the request.
-package admission
+package authenticator
 
 import (
 	"net/http"
@@ -17,7 +17,7 @@
 const bearerPrefix = "Bearer "
 
 // Admission checks API keys against the configuration in force.
-type Admission struct {
+type Authenticator struct {
 	// Snapshot returns the configuration in force, or nil before the first one.
 	Snapshot func() *snapshot.Snapshot
 	// Stale reports whether this host may have missed key withdrawals for too long to
@@ -26,7 +26,7 @@
 }
 
 // Identify returns the credential that belongs to the key of a request.
-func (a *Admission) Identify(r *http.Request) (credential.Credential, bool) {
+func (a *Authenticator) Identify(r *http.Request) (credential.Credential, bool) {
 	k := Key(r)
 	s := a.Snapshot()
 	if k == "" || s == nil {
@@ -38,7 +38,7 @@
 // Valid reports whether a key that was accepted earlier is still in force. It is
 // checked again right before a request is sent, since the key may have been withdrawn
 // while the request waited.
-func (a *Admission) Valid(c credential.Credential) bool {
+func (a *Authenticator) Valid(c credential.Credential) bool {
 	s := a.Snapshot()
 	if s == nil {
 		return false
@@ -49,7 +49,7 @@
 
 // Trusts reports whether this host may rely on its keys for a request. A partitioned
 // host does not receive key withdrawals.
-func (a *Admission) MayUseKeys(nonIdempotent bool) bool {
+func (a *Authenticator) MayUseKeys(nonIdempotent bool) bool {
 	return a.Stale == nil || !a.Stale(nonIdempotent)
 }
 
--- a/admission/written_test.go
+++ b/authenticator/written_test.go
@@ -1,4 +1,4 @@
-package admission
+package authenticator
 
 import (
 	"testing"
--- a/backendknobs/backendknobs.go
+++ b/backendfaults/backendfaults.go
@@ -1,9 +1,9 @@
 // Package backendknobs defines the faults that a backend stand-in can inject.
-package backendknobs
+package backendfaults
 
 // Backendknobs are the injected faults. They can be changed while the stand-in
 // runs.
-type Backendknobs struct {
+type Backendfaults struct {
 	// Shed refuses every request without running it, like a backend server with
 	// no free slot.
 	Shed bool `json:",omitzero"`
--- a/sums/written_test.go
+++ b/backendfaults/written_test.go
@@ -1,4 +1,4 @@
-package sums
+package backendfaults
 
 import (
 	"testing"
@@ -7,5 +7,5 @@
 )
 
 func TestWritten(t *testing.T) {
-	writtenform.Check(t, "sums", new(Sums))
+	writtenform.Check(t, "knobs", new(Backendfaults))
 }
--- a/backendtrial/backendtrial.go
+++ b/backendsimulation/backendsimulation.go
@@ -1,6 +1,6 @@
 // Package backendtrial simulates the backend servers of a service while one of
 // them is faulty, and compares balancers on the same requests.
-package backendtrial
+package backendsimulation
 
 import (
 	"context"
@@ -37,7 +37,7 @@
 )
 
 // Backendtrial is one simulation run.
-type Backendtrial struct {
+type Backendsimulation struct {
 	// Seed makes the run repeatable.
 	Seed uint64
 	// For is the simulated time; the fault begins at 5 s.
@@ -74,7 +74,7 @@
 }
 
 // Run runs the simulation and returns a line of a report.
-func (b *Backendtrial) Run() string {
+func (b *Backendsimulation) Run() string {
 	b.timeline = timeline.New()
 	b.random = rand.New(rand.NewPCG(b.Seed, 0))
 	b.running = make([]int, backendCount)
@@ -96,7 +96,7 @@
 	return b.report()
 }
 
-func (b *Backendtrial) build() {
+func (b *Backendsimulation) build() {
 	for i := range backendCount {
 		b.backends = append(b.backends, backend.Backend{Name: fmt.Sprint(i), Slots: slotsPerBackend, WarmUp: 8 * time.Second, Health: "/health"})
 	}
@@ -114,7 +114,7 @@
 	b.queue = &queue.Queue{Clock: b.timeline.Clock, Acquire: b.acquire, Limit: 10_000, NewestFirstAfter: 100 * time.Millisecond}
 }
 
-func (b *Backendtrial) injectFault() {
+func (b *Backendsimulation) injectFault() {
 	if b.Fault == "cold" {
 		b.backends = append([]backend.Backend{{Name: "0", Slots: slotsPerBackend, WarmUp: 8 * time.Second, Health: "/health"}}, b.backends...)
 	}
@@ -122,7 +122,7 @@
 
 // probe simulates the health endpoints, which report the real state except for
 // the fault "health lies".
-func (b *Backendtrial) probe() {
+func (b *Backendsimulation) probe() {
 	for _, v := range b.balancer.ProbeTargets() {
 		a := v.Name == "0" && b.faulty() && (b.Fault == "refuses" || b.Fault == "fails fast")
 		h := health.Health{Reached: !a || b.Fault != "refuses", Healthy: !a}
@@ -133,12 +133,12 @@
 	}
 }
 
-func (b *Backendtrial) faulty() bool {
+func (b *Backendsimulation) faulty() bool {
 	return b.timeline.Now() >= faultBegins
 }
 
 // arrive adds a request to the queue and polls for its decision.
-func (b *Backendtrial) arrive(at, w time.Duration, cancels bool) {
+func (b *Backendsimulation) arrive(at, w time.Duration, cancels bool) {
 	b.counts.sent++
 	d, _ := b.queue.Enqueue(context.Background(), "a", maxWait)
 	var look func()
@@ -157,7 +157,7 @@
 }
 
 // start runs a request on the backend server of s.
-func (b *Backendtrial) start(at, w time.Duration, cancels bool, s slot.Slot) {
+func (b *Backendsimulation) start(at, w time.Duration, cancels bool, s slot.Slot) {
 	n := s.Backend.Name
 	i := 0
 	_, _ = fmt.Sscan(n, &i)
@@ -186,7 +186,7 @@
 
 // serve returns the duration, the result and the status of a request that would
 // take w without a fault.
-func (b *Backendtrial) serve(bad bool, w time.Duration, cancels bool) (time.Duration, result.Result, int) {
+func (b *Backendsimulation) serve(bad bool, w time.Duration, cancels bool) (time.Duration, result.Result, int) {
 	switch {
 	case bad && b.Fault == "fails fast":
 		return time.Millisecond, result.Succeeded, http.StatusInternalServerError
@@ -203,7 +203,7 @@
 }
 
 // end records the answer and releases the slot after the time w.
-func (b *Backendtrial) end(at, w time.Duration, s slot.Slot, r result.Result, status int) {
+func (b *Backendsimulation) end(at, w time.Duration, s slot.Slot, r result.Result, status int) {
 	b.timeline.At(b.timeline.Now()+w, func() {
 		if r == result.Succeeded {
 			h := http.Header{}
@@ -224,7 +224,7 @@
 	})
 }
 
-func (b *Backendtrial) report() string {
+func (b *Backendsimulation) report() string {
 	t := &b.counts
 	slices.Sort(t.latencies)
 	q := func(f float64) time.Duration {
--- a/backendtrial/baseline.go
+++ b/backendsimulation/baseline.go
@@ -1,4 +1,4 @@
-package backendtrial
+package backendsimulation
 
 import (
 	"net/http"
@@ -9,7 +9,7 @@
 
 // baseline is the first version's balancer: it picks the backend server with
 // the greatest fraction of free slots, by its own counts alone.
-func (b *Backendtrial) baseline() func() (slot.Slot, bool) {
+func (b *Backendsimulation) baseline() func() (slot.Slot, bool) {
 	u := make(map[string]int)
 	return func() (slot.Slot, bool) {
 		p := -1
--- a/backendstandin/backendstandin.go
+++ b/backendstandin/backendstandin.go
@@ -17,11 +17,11 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"celeryreach.example/celeryreach/backendknobs"
+	"celeryreach.example/celeryreach/backendfaults"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/loadreport"
+	"celeryreach.example/celeryreach/responsecopier"
 	"celeryreach.example/celeryreach/upstream"
-	"celeryreach.example/celeryreach/whole"
 )
 
 // JudgeHeader identifies one attempt of a caller, so that the runs of repeated
@@ -51,14 +51,14 @@
 
 	busy       atomic.Int64
 	mu         sync.Mutex
-	knobs      backendknobs.Backendknobs
+	knobs      backendfaults.Backendfaults
 	firstRunAt time.Time
 	runs       map[string]int
 	received   []string
 }
 
 // Set changes the injected faults.
-func (b *Backendstandin) SetFaults(k backendknobs.Backendknobs) {
+func (b *Backendstandin) SetFaults(k backendfaults.Backendfaults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.knobs = k
@@ -86,7 +86,7 @@
 		w.Header().Set(loadreport.DrainingHeader, "yes")
 	}
 	if n > int64(b.Slots) || k.Shed || k.Drain {
-		w.Header().Set(whole.NotRunHeader, "shed")
+		w.Header().Set(responsecopier.NotRunHeader, "shed")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -148,7 +148,7 @@
 	return s + strings.Repeat("-", max(0, n-len(s)-1)) + "."
 }
 
-func (b *Backendstandin) writeResponse(w http.ResponseWriter, r *http.Request, k backendknobs.Backendknobs, digest string) {
+func (b *Backendstandin) writeResponse(w http.ResponseWriter, r *http.Request, k backendfaults.Backendfaults, digest string) {
 	a := ResponseBody(b.Name, r.Method, r.URL.RequestURI(), digest, k.Bytes)
 	switch {
 	case k.Mute:
@@ -190,7 +190,7 @@
 	if err != nil {
 		return
 	}
-	var k backendknobs.Backendknobs
+	var k backendfaults.Backendfaults
 	if err := codec.Unmarshal(a, &k); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -214,14 +214,14 @@
 
 // takeKnobs returns the faults for one request and counts down the limited
 // number of faulty requests.
-func (b *Backendstandin) takeKnobs() backendknobs.Backendknobs {
+func (b *Backendstandin) takeKnobs() backendfaults.Backendfaults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.knobs
 	if k.First > 0 {
 		b.knobs.First--
 		if b.knobs.First == 0 {
-			b.knobs = backendknobs.Backendknobs{Bytes: k.Bytes}
+			b.knobs = backendfaults.Backendfaults{Bytes: k.Bytes}
 		}
 	}
 	return k
@@ -250,7 +250,7 @@
 	}
 }
 
-func (b *Backendstandin) workDuration(k backendknobs.Backendknobs) time.Duration {
+func (b *Backendstandin) workDuration(k backendfaults.Backendfaults) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if k.Cold {
--- a/blockfollower/blockfollower.go
+++ b/blockfollower/blockfollower.go
@@ -12,7 +12,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"celeryreach.example/celeryreach/accepted"
+	"celeryreach.example/celeryreach/acceptedversion"
 	"celeryreach.example/celeryreach/block"
 	"celeryreach.example/celeryreach/blockchunk"
 	"celeryreach.example/celeryreach/blocktable"
@@ -79,7 +79,7 @@
 func (f *Blockfollower) Replica() *replica.Replica {
 	f.once.Do(func() {
 		f.replica = &replica.Replica{
-			Kind: Kind, Key: accepted.BlocksKey, Log: f.Log, Platform: f.Platform, Apply: f.apply, Changed: f.Changed,
+			Kind: Kind, Key: acceptedversion.BlocksKey, Log: f.Log, Platform: f.Platform, Apply: f.apply, Changed: f.Changed,
 			Clock: f.Clock, PollInterval: f.Poll,
 		}
 	})
@@ -181,15 +181,15 @@
 // that start would each read thousands of chunks from the platform.
 func (f *Blockfollower) fetchChunk(ctx context.Context, hash string) ([]byte, error) {
 	if f.Fetch != nil {
-		if b, err := f.Fetch(ctx, hash); err == nil && accepted.Hash(b) == hash {
+		if b, err := f.Fetch(ctx, hash); err == nil && acceptedversion.Hash(b) == hash {
 			return b, nil
 		}
 	}
-	b, err := f.Platform.GetObject(ctx, accepted.ObjectName(accepted.BlocksKey, hash))
+	b, err := f.Platform.GetObject(ctx, acceptedversion.ObjectName(acceptedversion.BlocksKey, hash))
 	if err != nil {
 		return nil, err
 	}
-	if accepted.Hash(b) != hash {
+	if acceptedversion.Hash(b) != hash {
 		return nil, errors.Errorf("content of the chunk does not match hash %s", hash)
 	}
 	return b, nil
--- a/blockfollower/blockfollower_test.go
+++ b/blockfollower/blockfollower_test.go
@@ -18,14 +18,14 @@
 	"celeryreach.example/celeryreach/blockfollower"
 	"celeryreach.example/celeryreach/blockpublish"
 	"celeryreach.example/celeryreach/commit"
+	"celeryreach.example/celeryreach/memorytable"
 	"celeryreach.example/celeryreach/row"
 	"celeryreach.example/celeryreach/store"
-	"celeryreach.example/celeryreach/table"
 )
 
 // memoryPlatform is a platform in memory whose objects can be unavailable.
 type memoryPlatform struct {
-	table       table.Table
+	table       memorytable.Memorytable
 	mu          sync.Mutex
 	objects     map[string][]byte
 	unavailable bool
--- a/blockpublish/blockpublish.go
+++ b/blockpublish/blockpublish.go
@@ -9,7 +9,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"celeryreach.example/celeryreach/accepted"
+	"celeryreach.example/celeryreach/acceptedversion"
 	"celeryreach.example/celeryreach/block"
 	"celeryreach.example/celeryreach/blockchunk"
 	"celeryreach.example/celeryreach/publish"
@@ -29,8 +29,8 @@
 // Change puts some client blocks and removes others. Concurrent changes
 // conflict only if they name the same block, and then the later one wins: the
 // second change is applied again to the version that the first one published.
-func (p *Blockpublish) Change(ctx context.Context, put []block.Block, remove []netip.Prefix) (accepted.Accepted, error) {
-	u := &publish.Publish{Clock: p.Clock, Platform: p.Platform, Key: accepted.BlocksKey}
+func (p *Blockpublish) Change(ctx context.Context, put []block.Block, remove []netip.Prefix) (acceptedversion.Acceptedversion, error) {
+	u := &publish.Publish{Clock: p.Clock, Platform: p.Platform, Key: acceptedversion.BlocksKey}
 	for range maxAttempts {
 		a, _, err := u.Current(ctx)
 		if err != nil {
@@ -48,11 +48,11 @@
 			return n, err
 		}
 	}
-	return accepted.Accepted{}, errors.New("too many concurrent changes of the client blocks; nothing was changed")
+	return acceptedversion.Acceptedversion{}, errors.New("too many concurrent changes of the client blocks; nothing was changed")
 }
 
 // chunkHashes returns the hashes of the accepted chunks.
-func (p *Blockpublish) chunkHashes(ctx context.Context, a accepted.Accepted) ([]string, error) {
+func (p *Blockpublish) chunkHashes(ctx context.Context, a acceptedversion.Acceptedversion) ([]string, error) {
 	if a.Version == 0 {
 		h := make([]string, blockchunk.Count)
 		for i := range h {
@@ -60,7 +60,7 @@
 		}
 		return h, nil
 	}
-	b, err := p.Platform.GetObject(ctx, accepted.ObjectName(accepted.BlocksKey, a.Hash))
+	b, err := p.Platform.GetObject(ctx, acceptedversion.ObjectName(acceptedversion.BlocksKey, a.Hash))
 	if err != nil {
 		return nil, err
 	}
@@ -92,8 +92,8 @@
 			continue
 		}
 		b := blockchunk.Format(l)
-		h[i] = accepted.Hash(b)
-		if err := p.Platform.PutObject(ctx, accepted.ObjectName(accepted.BlocksKey, h[i]), b); err != nil {
+		h[i] = acceptedversion.Hash(b)
+		if err := p.Platform.PutObject(ctx, acceptedversion.ObjectName(acceptedversion.BlocksKey, h[i]), b); err != nil {
 			return err
 		}
 	}
@@ -110,11 +110,11 @@
 	if h[i] == blockchunk.Empty {
 		return nil
 	}
-	b, err := p.Platform.GetObject(ctx, accepted.ObjectName(accepted.BlocksKey, h[i]))
+	b, err := p.Platform.GetObject(ctx, acceptedversion.ObjectName(acceptedversion.BlocksKey, h[i]))
 	if err != nil {
 		return err
 	}
-	if accepted.Hash(b) != h[i] {
+	if acceptedversion.Hash(b) != h[i] {
 		return errors.Errorf("chunk %d: content does not match hash %s", i, h[i])
 	}
 	l, err := blockchunk.Parse(b)
--- a/burn/burn.go
+++ b/burncounter/burncounter.go
@@ -1,5 +1,5 @@
 // Package burn counts how requests ended on a host, for the burn report.
-package burn
+package burncounter
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/jonboulle/clockwork"
 
-	"celeryreach.example/celeryreach/drained"
+	"celeryreach.example/celeryreach/completeddrain"
 	"celeryreach.example/celeryreach/member"
-	"celeryreach.example/celeryreach/second"
-	"celeryreach.example/celeryreach/tally"
+	"celeryreach.example/celeryreach/requestcounts"
+	"celeryreach.example/celeryreach/secondcount"
 	"celeryreach.example/celeryreach/usage"
 	"celeryreach.example/celeryreach/wire"
 )
@@ -33,7 +33,7 @@
 
 // Burn holds the counts of one host. They are in memory only; package keep
 // copies them to the platform.
-type Burn struct {
+type Burncounter struct {
 	// Clock is the host's clock.
 	Clock clockwork.Clock
 	// Self identifies this host.
@@ -44,10 +44,10 @@
 	SlotLoads func() []*wire.Load
 
 	mu           sync.Mutex
-	tallies      map[minuteKey]*tally.Tally
-	seconds      map[secondKey]*second.Second
+	tallies      map[minuteKey]*requestcounts.Requestcounts
+	seconds      map[secondKey]*secondcount.Secondcount
 	usages       map[minuteKey]*usage.Usage
-	drains       []drained.Drained
+	drains       []completeddrain.Completeddrain
 	latencies    map[string]*hdrhistogram.WindowedHistogram
 	lastRotation time.Time
 	// lastExpiryMinute is in minutes since the Unix epoch.
@@ -68,7 +68,7 @@
 }
 
 // Run samples the slots and removes expired counts until ctx ends.
-func (b *Burn) Run(ctx context.Context) error {
+func (b *Burncounter) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -84,13 +84,13 @@
 }
 
 // Drained records a completed drain.
-func (b *Burn) RecordDrain(backend string, took time.Duration) {
+func (b *Burncounter) RecordDrain(backend string, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.drains = append(b.drains, drained.Drained{At: b.Clock.Now().UTC(), Backend: backend, Took: took})
+	b.drains = append(b.drains, completeddrain.Completeddrain{At: b.Clock.Now().UTC(), Backend: backend, Took: took})
 }
 
-func (b *Burn) sampleUsage(l []*wire.Load) {
+func (b *Burncounter) sampleUsage(l []*wire.Load) {
 	if b.usages == nil {
 		b.usages = make(map[minuteKey]*usage.Usage)
 	}
@@ -107,7 +107,7 @@
 	}
 }
 
-func (b *Burn) expire() {
+func (b *Burncounter) expire() {
 	n := b.Clock.Now()
 	// Expiry runs once a minute: scanning all counts every second would block
 	// requests for a millisecond at current sizes.
--- a/burn/burn_test.go
+++ b/burncounter/burncounter_test.go
@@ -1,4 +1,4 @@
-package burn_test
+package burncounter_test
 
 import (
 	"fmt"
@@ -8,16 +8,16 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/shoenig/test/must"
 
-	"celeryreach.example/celeryreach/burn"
+	"celeryreach.example/celeryreach/burncounter"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/member"
 	"celeryreach.example/celeryreach/outcome"
-	"celeryreach.example/celeryreach/tally"
+	"celeryreach.example/celeryreach/requestcounts"
 	"celeryreach.example/celeryreach/wire"
 )
 
-func newBurn(c clockwork.Clock) *burn.Burn {
-	return &burn.Burn{
+func newBurn(c clockwork.Clock) *burncounter.Burncounter {
+	return &burncounter.Burncounter{
 		Clock: c, Self: member.Member{Name: "h", Region: "north"},
 		Latency:   func(string) time.Duration { return 100 * time.Millisecond },
 		SlotLoads: func() []*wire.Load { return []*wire.Load{{Service: "s", Slots: 4, Busy: 1}} },
@@ -47,7 +47,7 @@
 	}
 	b.Record("", "", outcome.Outcome{Outcome: outcome.KeyUnknown, Ran: outcome.RanNo}, 0)
 	s := b.Sums()
-	must.Eq(t, []tally.Tally{{
+	must.Eq(t, []requestcounts.Requestcounts{{
 		Minute: 100, Account: "a", Service: "s", Answered: 2, Timely: 1, Left: 1, Failed: 2, Inside: 2, OverRate: 1, Mistaken: 1,
 	}}, s.Tallies)
 	must.Len(t, 1, s.Seconds)
--- a/burn/record.go
+++ b/burncounter/record.go
@@ -1,4 +1,4 @@
-package burn
+package burncounter
 
 import (
 	"time"
@@ -6,12 +6,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"celeryreach.example/celeryreach/outcome"
-	"celeryreach.example/celeryreach/second"
-	"celeryreach.example/celeryreach/tally"
+	"celeryreach.example/celeryreach/requestcounts"
+	"celeryreach.example/celeryreach/secondcount"
 )
 
 // Record counts a request of an account that ended after d.
-func (b *Burn) Record(account, service string, o outcome.Outcome, d time.Duration) {
+func (b *Burncounter) Record(account, service string, o outcome.Outcome, d time.Duration) {
 	if account == "" || service == "" {
 		return // without a valid key or a known path, the request belongs to no budget
 	}
@@ -46,16 +46,16 @@
 
 // recordRate counts the request against the account's rate. A request that was
 // not run has returned its token and is not counted.
-func (b *Burn) recordRate(k secondKey, o outcome.Outcome) {
+func (b *Burncounter) recordRate(k secondKey, o outcome.Outcome) {
 	if o.Outcome != outcome.OverRate && o.Ran == outcome.RanNo {
 		return
 	}
 	if b.seconds == nil {
-		b.seconds = make(map[secondKey]*second.Second)
+		b.seconds = make(map[secondKey]*secondcount.Secondcount)
 	}
 	s := b.seconds[k]
 	if s == nil {
-		s = &second.Second{Second: k.second, Account: k.account}
+		s = &secondcount.Secondcount{Second: k.second, Account: k.account}
 		b.seconds[k] = s
 	}
 	if o.Outcome == outcome.OverRate {
@@ -66,19 +66,19 @@
 }
 
 // tallyFor returns the tally of k and creates it if necessary.
-func (b *Burn) tallyFor(k minuteKey) *tally.Tally {
+func (b *Burncounter) tallyFor(k minuteKey) *requestcounts.Requestcounts {
 	if b.tallies == nil {
-		b.tallies = make(map[minuteKey]*tally.Tally)
+		b.tallies = make(map[minuteKey]*requestcounts.Requestcounts)
 	}
 	t := b.tallies[k]
 	if t == nil {
-		t = &tally.Tally{Minute: k.minute, Account: k.account, Service: k.service}
+		t = &requestcounts.Requestcounts{Minute: k.minute, Account: k.account, Service: k.service}
 		b.tallies[k] = t
 	}
 	return t
 }
 
-func (b *Burn) recordLatency(service string, d time.Duration) {
+func (b *Burncounter) recordLatency(service string, d time.Duration) {
 	if b.latencies == nil {
 		b.latencies = make(map[string]*hdrhistogram.WindowedHistogram)
 		b.lastRotation = b.Clock.Now()
--- a/burn/sums.go
+++ b/burncounter/sums.go
@@ -1,16 +1,16 @@
-package burn
+package burncounter
 
 import (
 	"sort"
 
-	"celeryreach.example/celeryreach/sums"
+	"celeryreach.example/celeryreach/hostcounts"
 )
 
 // Sums returns a sorted copy of all counts.
-func (b *Burn) Sums() sums.Sums {
+func (b *Burncounter) Sums() hostcounts.Hostcounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := sums.Sums{
+	s := hostcounts.Hostcounts{
 		Host: b.Self.Name, Incarnation: b.Self.Incarnation, Region: b.Self.Region, At: b.Clock.Now().UTC(),
 		Latencies: make(map[string][]byte),
 	}
@@ -35,7 +35,7 @@
 }
 
 // sortSums sorts the counts by time, account and service.
-func sortSums(s *sums.Sums) {
+func sortSums(s *hostcounts.Hostcounts) {
 	sort.Slice(s.Tallies, func(i, j int) bool {
 		a, b := s.Tallies[i], s.Tallies[j]
 		if a.Minute != b.Minute {
--- a/sample/sample.go
+++ b/callersim/callersim.go
@@ -1,6 +1,6 @@
 // Package sample simulates callers for the demo: they look up entry hosts, send
 // requests and often cancel them before the response.
-package sample
+package callersim
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"celeryreach.example/celeryreach/answer"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/counter"
+	"celeryreach.example/celeryreach/lookupanswer"
 	"celeryreach.example/celeryreach/outcome"
 )
 
@@ -33,7 +33,7 @@
 const NotRunPrefix = "NotRun."
 
 // Sample simulates a group of callers.
-type Sample struct {
+type Callersim struct {
 	// Clock is used for the pauses between requests.
 	Clock clockwork.Clock
 	// LookupURL is the look-up URL of one host.
@@ -49,13 +49,13 @@
 }
 
 // Sent returns the number of requests started.
-func (s *Sample) Sent() uint64 {
+func (s *Callersim) Sent() uint64 {
 	return s.sent.Load()
 }
 
 // Run simulates the callers until ctx ends. Requests already started are
 // completed first.
-func (s *Sample) Run(ctx context.Context) error {
+func (s *Callersim) Run(ctx context.Context) error {
 	d := make(chan struct{})
 	n := 0
 	for a, k := range s.Keys {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-func (s *Sample) runCaller(ctx context.Context, account, key string, r *mathrand.Rand, done chan<- struct{}) {
+func (s *Callersim) runCaller(ctx context.Context, account, key string, r *mathrand.Rand, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	t := new(http.Transport)
 	defer t.CloseIdleConnections()
@@ -88,7 +88,7 @@
 	}
 }
 
-func (s *Sample) sendOne(ctx context.Context, c *http.Client, account, key string, r *mathrand.Rand) string {
+func (s *Callersim) sendOne(ctx context.Context, c *http.Client, account, key string, r *mathrand.Rand) string {
 	h, ok := s.lookup(ctx, c, account)
 	if !ok {
 		return "LookupFailed"
@@ -124,7 +124,7 @@
 	return o.Outcome
 }
 
-func (s *Sample) lookup(ctx context.Context, c *http.Client, account string) (string, bool) {
+func (s *Callersim) lookup(ctx context.Context, c *http.Client, account string) (string, bool) {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, s.LookupURL+"?region=lagos&service=Listings&account="+account, nil)
 	if err != nil {
 		return "", false
@@ -138,14 +138,14 @@
 	if err != nil {
 		return "", false
 	}
-	var a answer.Answer
+	var a lookupanswer.Lookupanswer
 	if err := codec.Unmarshal(b, &a); err != nil || len(a.EntryHosts) == 0 {
 		return "", false
 	}
 	return a.EntryHosts[0], true
 }
 
-func (s *Sample) newRequest(ctx context.Context, host, key string, r *mathrand.Rand) (*http.Request, error) {
+func (s *Callersim) newRequest(ctx context.Context, host, key string, r *mathrand.Rand) (*http.Request, error) {
 	m, p, b := http.MethodGet, "/listings/1", io.Reader(nil)
 	if r.Float64() < enrolFraction {
 		m, p, b = http.MethodPost, "/enrolments/1", strings.NewReader("child=1")
--- a/sample/written_test.go
+++ b/callersim/written_test.go
@@ -1,4 +1,4 @@
-package sample
+package callersim
 
 import (
 	"testing"
--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -10,10 +10,10 @@
 
 	"github.com/jonboulle/clockwork"
 
+	"celeryreach.example/celeryreach/componentcost"
+	"celeryreach.example/celeryreach/linearfit"
 	"celeryreach.example/celeryreach/measurement"
-	"celeryreach.example/celeryreach/role"
-	"celeryreach.example/celeryreach/slope"
-	"celeryreach.example/celeryreach/target"
+	"celeryreach.example/celeryreach/targetsize"
 )
 
 // Capacity runs the measurements and prints the tables of the capacity page.
@@ -21,20 +21,20 @@
 	// Clock times the measurements.
 	Clock clockwork.Clock
 	// Target is the deployment size for which costs are computed.
-	Target target.Target
+	Target targetsize.Targetsize
 	// Out receives the tables as Markdown.
 	Out io.Writer
 	// Short reduces the measured sizes to a hundredth, for tests.
 	Short bool
 
-	slopes map[string]slope.Slope // by the name of the measured cost
+	slopes map[string]linearfit.Linearfit // by the name of the measured cost
 }
 
 // Run measures all costs, then prints the tables of measurements, roles and worst
 // cases.
 func (c *Capacity) Run(ctx context.Context) error {
 	p := c.measurements()
-	c.slopes = make(map[string]slope.Slope, len(p))
+	c.slopes = make(map[string]linearfit.Linearfit, len(p))
 	fmt.Fprintln(c.Out, "| cost | sizes | measured | base | each | fit |")
 	fmt.Fprintln(c.Out, "|---|---|---|---|---|---|")
 	for i := range p {
@@ -57,10 +57,10 @@
 		p.Name, formatInts(p.Sizes), p.Per, formatFloats(p.Costs()), p.Unit, s.Intercept, p.Unit, s.Slope, p.Unit, p.Per, s.RSquared)
 }
 
-func (c *Capacity) printRoles(r []role.Role) {
+func (c *Capacity) printRoles(r []componentcost.Componentcost) {
 	fmt.Fprintln(c.Out, "| role | memory a host | messages/s a host | bytes/s a host | table reads/s in all | table writes/s in all | core a host | carried by | today's code breaks on |")
 	fmt.Fprintln(c.Out, "|---|---|---|---|---|---|---|---|---|")
-	t := role.Role{Name: "**all**"}
+	t := componentcost.Componentcost{Name: "**all**"}
 	for _, v := range r {
 		c.printRole(v)
 		t.Memory += v.Memory
@@ -75,7 +75,7 @@
 		formatBytes(c.Target.Memory), formatBytes(c.Target.Traffic), c.Target.StoreReads, c.Target.StoreWrites, 100*c.Target.Core)
 }
 
-func (c *Capacity) printRole(r role.Role) {
+func (c *Capacity) printRole(r componentcost.Componentcost) {
 	fmt.Fprintf(c.Out, "| %s | %s | %.3g | %s | %.3g | %.3g | %.3f%% | %s | %s |\n",
 		r.Name, formatBytes(r.Memory), r.Messages, formatBytes(r.Traffic), r.Reads, r.Writes, 100*r.Core, r.Mechanism, r.Bottleneck)
 }
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -8,14 +8,14 @@
 	"github.com/shoenig/test/must"
 
 	"celeryreach.example/celeryreach/capacity"
-	"celeryreach.example/celeryreach/target"
+	"celeryreach.example/celeryreach/targetsize"
 )
 
 // The capacity page is generated from this output, so a run must print every role,
 // and every figure must come from a measurement.
 func TestShortRun(t *testing.T) {
 	var b strings.Builder
-	c := &capacity.Capacity{Clock: clockwork.NewRealClock(), Target: target.New(), Out: &b, Short: true}
+	c := &capacity.Capacity{Clock: clockwork.NewRealClock(), Target: targetsize.New(), Out: &b, Short: true}
 	must.NoError(t, c.Run(t.Context()))
 	for _, r := range []string{"look-up", "admission", "queue", "balancer", "membership", "quota", "configuration", "planner", "idempotency", "burn report", "placement", "tokens"} {
 		must.StrContains(t, b.String(), "\n| "+r+" |")
--- a/capacity/fixtures.go
+++ b/capacity/fixtures.go
@@ -5,7 +5,7 @@
 	"net/netip"
 	"time"
 
-	"celeryreach.example/celeryreach/accepted"
+	"celeryreach.example/celeryreach/acceptedversion"
 	"celeryreach.example/celeryreach/account"
 	"celeryreach.example/celeryreach/block"
 	"celeryreach.example/celeryreach/blocktable"
@@ -14,8 +14,8 @@
 	"celeryreach.example/celeryreach/credential"
 	"celeryreach.example/celeryreach/division"
 	"celeryreach.example/celeryreach/holder"
+	"celeryreach.example/celeryreach/limitpart"
 	"celeryreach.example/celeryreach/member"
-	"celeryreach.example/celeryreach/part"
 	"celeryreach.example/celeryreach/preset"
 	"celeryreach.example/celeryreach/record"
 	"celeryreach.example/celeryreach/region"
@@ -46,7 +46,7 @@
 func newHeartbeat(peers, accounts int) *wire.Heartbeat {
 	h := &wire.Heartbeat{Protocol: 1, From: newHost(0), Sequence: 1 << 20, KeyAgeNanoseconds: 1, KnownDigest: 1 << 63, HasDigest: 1 << 63}
 	for _, k := range []string{"Config", "Plan", "Division"} {
-		h.Versions = append(h.Versions, &wire.Version{Kind: k, Version: 1 << 20, Hash: accepted.Short(credential.Hash(k))})
+		h.Versions = append(h.Versions, &wire.Version{Kind: k, Version: 1 << 20, Hash: acceptedversion.Short(credential.Hash(k))})
 	}
 	for i := range serviceCount {
 		h.Loads = append(h.Loads, &wire.Load{
@@ -93,15 +93,15 @@
 // holders.
 func newDivision(n int) *division.Division {
 	const holders = 10
-	d := &division.Division{Epoch: 1, Author: newHolder(0).Name, Parts: make(map[string]map[string]part.Part), FloorFraction: 0.5}
+	d := &division.Division{Epoch: 1, Author: newHolder(0).Name, Parts: make(map[string]map[string]limitpart.Limitpart), FloorFraction: 0.5}
 	for i := range holders {
 		d.Holders = append(d.Holders, newHolder(i))
 		d.Floors = append(d.Floors, newHolder(i).Domain)
 	}
 	for i := range max(1, n/holders) {
-		m := make(map[string]part.Part, holders)
+		m := make(map[string]limitpart.Limitpart, holders)
 		for j, h := range d.Holders {
-			m[h.Name] = part.Part{
+			m[h.Name] = limitpart.Limitpart{
 				Floor:  []span.Span{{From: uint32(j * 1000), To: uint32(j*1000 + 500)}},
 				Leased: []span.Span{{From: uint32(j*1000 + 500), To: uint32(j*1000 + 1000)}},
 			}
--- a/capacity/measurements.go
+++ b/capacity/measurements.go
@@ -10,7 +10,7 @@
 	"celeryreach.example/celeryreach/config"
 	"celeryreach.example/celeryreach/delta"
 	"celeryreach.example/celeryreach/division"
-	"celeryreach.example/celeryreach/holding"
+	"celeryreach.example/celeryreach/entitlement"
 	"celeryreach.example/celeryreach/measurement"
 	"celeryreach.example/celeryreach/roster"
 	"celeryreach.example/celeryreach/snapshot"
@@ -122,7 +122,7 @@
 // new epoch.
 func (c *Capacity) divisionTime(n int) float64 {
 	b := mustMarshal(newDivision(n))
-	h := &holding.Holding{Clock: c.Clock, Self: newHolder(0), Hold: holdTime, StoreHold: holdTime, Every: heartbeatInterval}
+	h := &entitlement.Entitlement{Clock: c.Clock, Self: newHolder(0), Hold: holdTime, StoreHold: holdTime, Every: heartbeatInterval}
 	e := uint64(0)
 	return measurement.Time(c.Clock, func() {
 		var d division.Division
--- a/capacity/placement.go
+++ b/capacity/placement.go
@@ -7,12 +7,12 @@
 
 	"celeryreach.example/celeryreach/account"
 	"celeryreach.example/celeryreach/backend"
-	"celeryreach.example/celeryreach/coldpace"
+	"celeryreach.example/celeryreach/coldrate"
+	"celeryreach.example/celeryreach/componentcost"
 	"celeryreach.example/celeryreach/measurement"
 	"celeryreach.example/celeryreach/placement"
 	"celeryreach.example/celeryreach/request"
 	"celeryreach.example/celeryreach/result"
-	"celeryreach.example/celeryreach/role"
 	"celeryreach.example/celeryreach/service"
 	"celeryreach.example/celeryreach/tokens"
 )
@@ -39,7 +39,7 @@
 	h := []string{"host-0", "host-1"}
 	p := &placement.Placement{
 		Clock: c.Clock, Region: "region-0", RemoteWeight: 0.15,
-		ColdRate:     &coldpace.Coldpace{Self: h[0], Hosts: func() []string { return h }, Overage: 1.5, Slack: 5},
+		ColdRate:     &coldrate.Coldrate{Self: h[0], Hosts: func() []string { return h }, Overage: 1.5, Slack: 5},
 		ColdCapacity: func(string) (float64, time.Duration) { return 10, time.Second },
 	}
 	p.Set(newBackends(n), noColdPeriod)
@@ -98,9 +98,9 @@
 	})
 }
 
-func (c *Capacity) placement() role.Role {
+func (c *Capacity) placement() componentcost.Componentcost {
 	t := c.Target
-	return role.Role{
+	return componentcost.Componentcost{
 		Name: "placement", Memory: regionBackends * backendEntryBytes * 4, Traffic: regionBackendChanges * backendEntryBytes,
 		Core:       (t.Lookups/t.Hosts*c.costAt(placeTime, domainBackends) + regionBackendChanges*c.costAt(listTime, regionBackends)) / nanosPerSecond,
 		Mechanism:  "rendezvous hashing over a service's backend servers in reach; changes by the store's feed",
@@ -108,9 +108,9 @@
 	}
 }
 
-func (c *Capacity) tokens() role.Role {
+func (c *Capacity) tokens() componentcost.Componentcost {
 	t := c.Target
-	return role.Role{
+	return componentcost.Componentcost{
 		Name: "tokens", Memory: c.costAt(tokenBytes, siteAccounts), Core: t.Lookups / t.Hosts * c.costAt(tokenTime, siteAccounts) / nanosPerSecond,
 		Mechanism:  "a bucket an account of the site on a few holders, which other hosts ask when a request waits",
 		Bottleneck: "holders are drawn from all hosts: most requests would borrow from another region; holders have to follow the sites that an account uses",
--- a/capacity/requests.go
+++ b/capacity/requests.go
@@ -9,9 +9,9 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"celeryreach.example/celeryreach/burn"
-	"celeryreach.example/celeryreach/gauge"
+	"celeryreach.example/celeryreach/burncounter"
 	"celeryreach.example/celeryreach/grant"
+	"celeryreach.example/celeryreach/loadstats"
 	"celeryreach.example/celeryreach/lookup"
 	"celeryreach.example/celeryreach/measurement"
 	"celeryreach.example/celeryreach/member"
@@ -21,7 +21,7 @@
 	"celeryreach.example/celeryreach/record"
 	"celeryreach.example/celeryreach/roster"
 	"celeryreach.example/celeryreach/snapshot"
-	"celeryreach.example/celeryreach/ticket"
+	"celeryreach.example/celeryreach/ticketstore"
 	"celeryreach.example/celeryreach/wire"
 )
 
@@ -99,7 +99,7 @@
 
 // loadSumTime measures how long the planner takes to sum up the loads of n hosts.
 func (c *Capacity) loadSumTime(n int) float64 {
-	g := &gauge.Gauge{Clock: c.Clock, Window: holdTime, Timeout: 1000 * holdTime}
+	g := &loadstats.Loadstats{Clock: c.Clock, Window: holdTime, Timeout: 1000 * holdTime}
 	for i := range n {
 		h := newHeartbeat(0, 0)
 		h.From = newHost(i)
@@ -116,7 +116,7 @@
 }
 
 func (c *Capacity) ticketSize(n int) float64 {
-	t := &ticket.Ticket{
+	t := &ticketstore.Ticketstore{
 		Clock: c.Clock, Host: "host", Incarnation: 1, Lifetime: 1000 * holdTime, MaxAnswerBytes: 1 << 30, MaxUsed: n + 1,
 		HostAddress: func(string, uint64) (string, bool) { return "", false },
 	}
@@ -134,7 +134,7 @@
 // accounts active in each second.
 func countSize(n int) float64 {
 	c := clockwork.NewFakeClock()
-	b := &burn.Burn{
+	b := &burncounter.Burncounter{
 		Clock: c, Latency: func(string) time.Duration { return time.Second },
 		SlotLoads: func() []*wire.Load { return nil },
 	}
--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"celeryreach.example/celeryreach/role"
+	"celeryreach.example/celeryreach/componentcost"
 )
 
 // Assumptions in addition to the stated target. The capacity page lists them too.
@@ -67,16 +67,16 @@
 	return c.Target.Hosts/c.Target.Sites - 1
 }
 
-func (c *Capacity) roles() []role.Role {
-	return []role.Role{
+func (c *Capacity) roles() []componentcost.Componentcost {
+	return []componentcost.Componentcost{
 		c.lookup(), c.admission(), c.queue(), c.balancer(), c.membership(), c.quota(), c.configuration(), c.planner(), c.idempotency(), c.burn(),
 		c.placement(), c.tokens(),
 	}
 }
 
-func (c *Capacity) lookup() role.Role {
+func (c *Capacity) lookup() componentcost.Componentcost {
 	t := c.Target
-	return role.Role{
+	return componentcost.Componentcost{
 		Name: "look-up", Memory: c.costAt(blockBytes, t.Blocks) + c.costAt(memberBytes, t.Hosts),
 		Core: t.Lookups/t.Hosts*c.costAt(lookupTime, t.Hosts/t.Regions)/nanosPerSecond +
 			2*t.Replacements*c.costAt(rosterTime, t.Hosts)/nanosPerSecond,
@@ -85,27 +85,27 @@
 	}
 }
 
-func (c *Capacity) admission() role.Role {
+func (c *Capacity) admission() componentcost.Componentcost {
 	t := c.Target
-	return role.Role{
+	return componentcost.Componentcost{
 		Name: "admission", Memory: c.costAt(admitBytes, siteAccounts),
 		Core:      t.Lookups / t.Hosts * c.costAt(admitTime, clientAccounts) / nanosPerSecond,
 		Mechanism: "buckets made on first use; one hash a request",
 	}
 }
 
-func (c *Capacity) queue() role.Role {
+func (c *Capacity) queue() componentcost.Componentcost {
 	t := c.Target
-	return role.Role{
+	return componentcost.Componentcost{
 		Name: "queue", Memory: c.costAt(waitBytes, waitingRequests),
 		Core:      t.Lookups / t.Hosts * c.costAt(waitTime, waitingRequests) / nanosPerSecond,
 		Mechanism: "accounts in a heap by their next turn, requests of an account in a list",
 	}
 }
 
-func (c *Capacity) balancer() role.Role {
+func (c *Capacity) balancer() componentcost.Componentcost {
 	t := c.Target
-	return role.Role{
+	return componentcost.Componentcost{
 		Name: "balancer", Core: t.Lookups / t.Hosts * c.costAt(pickTime, domainBackends) / nanosPerSecond,
 		Mechanism: "two candidates of those with a free slot; only a domain's own backend servers",
 	}
@@ -115,12 +115,12 @@
 // them. Between the sites of a failure domain, and between failure domains, one
 // host of each does. The cost is that of the most expensive host, which represents
 // both its site and its failure domain.
-func (c *Capacity) membership() role.Role {
+func (c *Capacity) membership() componentcost.Componentcost {
 	t := c.Target
 	f := t.Sites/t.Domains - 1 + t.Domains - 1
 	n := c.otherSiteHosts()/heartbeatSeconds + f/remoteHeartbeatSeconds
 	b := c.costAt(heartbeatBytes, 0) + heartbeatDemands*c.slopes[demandBytes].Slope
-	return role.Role{
+	return componentcost.Componentcost{
 		Name: "membership", Memory: c.costAt(heartbeatBytes, t.Hosts/t.Sites) * (c.otherSiteHosts() + f), Messages: 2 * n, Traffic: 2 * b * n,
 		Core:      2 * n * c.costAt(heartbeatTime, 1) / nanosPerSecond,
 		Mechanism: "heartbeats inside a site; one host speaks for a site and for a domain; lists of hosts only when they change",
@@ -129,10 +129,10 @@
 	}
 }
 
-func (c *Capacity) quota() role.Role {
+func (c *Capacity) quota() componentcost.Componentcost {
 	t := c.Target
 	p := siteAccounts * (c.otherSiteHosts() + 1)
-	return role.Role{
+	return componentcost.Componentcost{
 		Name: "quota", Memory: c.costAt(divisionBytes, p), Traffic: c.costAt(divisionBytes, p) / divisionIntervalSeconds * divisionChangedFraction,
 		Writes: t.Domains / divisionIntervalSeconds, Reads: t.Domains * pollersPerDomain,
 		Core:      c.costAt(divisionTime, p) / nanosPerSecond / divisionIntervalSeconds * divisionChangedFraction,
@@ -142,9 +142,9 @@
 	}
 }
 
-func (c *Capacity) configuration() role.Role {
+func (c *Capacity) configuration() componentcost.Componentcost {
 	t := c.Target
-	return role.Role{
+	return componentcost.Componentcost{
 		Name: "configuration", Memory: c.costAt(snapshotBytes, clientAccounts) + c.costAt(contentBytes, clientAccounts),
 		Messages: relayFanout * t.Changes, Traffic: relayFanout * t.Changes * changeBytes,
 		Reads: t.Domains * pollersPerDomain, Writes: t.Changes, Core: t.Changes * c.costAt(deltaTime, clientAccounts) / nanosPerSecond,
@@ -154,17 +154,17 @@
 	}
 }
 
-func (c *Capacity) planner() role.Role {
+func (c *Capacity) planner() componentcost.Componentcost {
 	t := c.Target
-	return role.Role{
+	return componentcost.Componentcost{
 		Name: "planner", Reads: 1, Writes: 1 / planIntervalSeconds, Core: c.costAt(loadSumTime, t.Sites) / nanosPerSecond,
 		Mechanism:  "one host at a time sums up sites once a second",
 		Bottleneck: "it sums up every host's heartbeats: " + formatNanoseconds(c.costAt(loadSumTime, t.Hosts)) + " for each look",
 	}
 }
 
-func (c *Capacity) idempotency() role.Role {
-	return role.Role{
+func (c *Capacity) idempotency() componentcost.Componentcost {
+	return componentcost.Componentcost{
 		Name: "idempotency", Memory: c.costAt(ticketBytes, usedTickets), Writes: 2 * idempotencyIDRequests,
 		Mechanism:  "tickets, from memory; the table for callers' own ids (at that size too few a host to share commits)",
 		Bottleneck: fmt.Sprintf("more than %d requests a second with callers' own ids over all hosts", idempotencyIDRequests),
@@ -172,9 +172,9 @@
 }
 
 // burn returns the cost of the counts behind the error-budget burn report.
-func (c *Capacity) burn() role.Role {
+func (c *Capacity) burn() componentcost.Componentcost {
 	t := c.Target
-	return role.Role{
+	return componentcost.Componentcost{
 		Name: "burn report", Memory: c.costAt(countBytes, limitedAccounts) * secondCountMinutes, Writes: t.Domains / countWriteSeconds,
 		Mechanism: "seconds are kept for accounts at their limit only, the others' by the minute; sums by failure domain are kept on the platform",
 		Bottleneck: fmt.Sprintf("seconds of every account: %s for %d accounts; counts kept by host: %.0f commits/s",
--- a/certs/certs.go
+++ b/certreloader/certreloader.go
@@ -1,5 +1,5 @@
 // Package certs reloads the certificates of one address while the process runs.
-package certs
+package certreloader
 
 import (
 	"crypto/tls"
@@ -23,7 +23,7 @@
 // example between the writing of a certificate and of its key, the previous contents
 // stay in use: rejecting handshakes would disconnect every caller because of an
 // operator's mistake.
-type Certs struct {
+type Certreloader struct {
 	// Clock times the checks of the files.
 	Clock clockwork.Clock
 	// Log receives one line for each renewal and for each failed check.
@@ -40,7 +40,7 @@
 
 // Load reads the files for the first time. A process must not start with certificates
 // that do not match.
-func (c *Certs) Load() error {
+func (c *Certreloader) Load() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastChecked = c.Clock.Now()
@@ -49,19 +49,19 @@
 
 // Server returns the TLS configuration of an address whose clients authenticate with
 // keys instead of certificates.
-func (c *Certs) ServerConfig() *tls.Config {
+func (c *Certreloader) ServerConfig() *tls.Config {
 	return c.server(tls.NoClientCert)
 }
 
 // Mutual returns the TLS configuration of an address that requires a client certificate
 // issued by the authority.
-func (c *Certs) MutualConfig() *tls.Config {
+func (c *Certreloader) MutualConfig() *tls.Config {
 	return c.server(tls.RequireAndVerifyClientCert)
 }
 
 // Client returns the TLS configuration of one connection to another host, whose
 // certificate must be valid for name. Certificate.ServerName, if set, replaces name.
-func (c *Certs) ClientConfig(name string) *tls.Config {
+func (c *Certreloader) ClientConfig(name string) *tls.Config {
 	p, a := c.current()
 	if c.Certificate.ServerName != "" {
 		name = c.Certificate.ServerName
@@ -69,7 +69,7 @@
 	return &tls.Config{Certificates: []tls.Certificate{p}, RootCAs: a, ServerName: name, MinVersion: tls.VersionTLS13}
 }
 
-func (c *Certs) server(auth tls.ClientAuthType) *tls.Config {
+func (c *Certreloader) server(auth tls.ClientAuthType) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -81,7 +81,7 @@
 
 // current returns the certificate and the authority, after checking the files if
 // checkInterval has passed.
-func (c *Certs) current() (tls.Certificate, *x509.CertPool) {
+func (c *Certreloader) current() (tls.Certificate, *x509.CertPool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n := c.Clock.Now(); n.Sub(c.lastChecked) >= checkInterval {
@@ -93,7 +93,7 @@
 	return c.pair, c.pool
 }
 
-func (c *Certs) reload() error {
+func (c *Certreloader) reload() error {
 	var t [3]string
 	for i, f := range []string{c.Certificate.File, c.Certificate.KeyFile, c.Certificate.AuthorityFile} {
 		if f == "" {
--- a/certs/certs_test.go
+++ b/certreloader/certreloader_test.go
@@ -1,4 +1,4 @@
-package certs_test
+package certreloader_test
 
 import (
 	"context"
@@ -15,27 +15,27 @@
 	"github.com/shoenig/test/must"
 
 	"celeryreach.example/celeryreach/certificate"
-	"celeryreach.example/celeryreach/certs"
-	"celeryreach.example/celeryreach/testcerts"
+	"celeryreach.example/celeryreach/certreloader"
+	"celeryreach.example/celeryreach/testca"
 )
 
-func newAuthority(t *testing.T) *testcerts.Testcerts {
+func newAuthority(t *testing.T) *testca.Testca {
 	t.Helper()
-	a, err := testcerts.New()
+	a, err := testca.New()
 	must.NoError(t, err)
 	return a
 }
 
-func write(t *testing.T, a *testcerts.Testcerts, dir string) certificate.Certificate {
+func write(t *testing.T, a *testca.Testca, dir string) certificate.Certificate {
 	t.Helper()
 	f, err := a.Write(dir)
 	must.NoError(t, err)
 	return f
 }
 
-func load(t *testing.T, c clockwork.Clock, f certificate.Certificate) *certs.Certs {
+func load(t *testing.T, c clockwork.Clock, f certificate.Certificate) *certreloader.Certreloader {
 	t.Helper()
-	r := &certs.Certs{Clock: c, Log: log.New(io.Discard), Certificate: f}
+	r := &certreloader.Certreloader{Clock: c, Log: log.New(io.Discard), Certificate: f}
 	must.NoError(t, r.Load())
 	return r
 }
--- a/cmd/connection.go
+++ b/cmd/connection.go
@@ -12,10 +12,10 @@
 	"github.com/pkg/errors"
 	"github.com/urfave/cli/v3"
 
-	"celeryreach.example/celeryreach/accepted"
-	"celeryreach.example/celeryreach/change"
+	"celeryreach.example/celeryreach/acceptedversion"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/config"
+	"celeryreach.example/celeryreach/configcommit"
 	"celeryreach.example/celeryreach/operatorclient"
 	"celeryreach.example/celeryreach/platformclient"
 	"celeryreach.example/celeryreach/problem"
@@ -42,7 +42,7 @@
 	transport   *http.Transport
 	load        func(ctx context.Context) (*config.Config, error)
 	loadVersion func(ctx context.Context, version uint64) (*config.Config, error)
-	commit      func(ctx context.Context, from uint64, c *config.Config) (accepted.Accepted, error)
+	commit      func(ctx context.Context, from uint64, c *config.Config) (acceptedversion.Acceptedversion, error)
 }
 
 func connectionFlags() []cli.Flag {
@@ -136,11 +136,11 @@
 	n.loadVersion = func(context.Context, uint64) (*config.Config, error) {
 		return nil, errors.New("only the newest version can be loaded from the platform")
 	}
-	n.commit = func(ctx context.Context, from uint64, c *config.Config) (accepted.Accepted, error) {
+	n.commit = func(ctx context.Context, from uint64, c *config.Config) (acceptedversion.Acceptedversion, error) {
 		if e := validate.Config(c); len(e) > 0 {
-			return accepted.Accepted{}, &problem.Problem{Problem: problem.InvalidConfig, Message: "nothing was changed", Mistakes: e}
+			return acceptedversion.Acceptedversion{}, &problem.Problem{Problem: problem.InvalidConfig, Message: "nothing was changed", Mistakes: e}
 		}
-		a, ok, err := (&change.Change{Platform: p}).Commit(ctx, from, *c)
+		a, ok, err := (&configcommit.Configcommit{Platform: p}).Commit(ctx, from, *c)
 		if err == nil && !ok {
 			err = &problem.Problem{Problem: problem.Conflict, Message: "the accepted version is another one; nothing was changed", Accepted: a}
 		}
@@ -150,18 +150,18 @@
 
 // loadFromPlatform reads the accepted configuration from the platform.
 func loadFromPlatform(ctx context.Context, p store.Store) (*config.Config, error) {
-	r, err := p.Read(ctx, accepted.ConfigKey)
+	r, err := p.Read(ctx, acceptedversion.ConfigKey)
 	if err != nil {
 		return nil, err
 	}
 	if r.Version == 0 {
 		return nil, errors.New("the platform has no configuration; see config init")
 	}
-	var a accepted.Accepted
+	var a acceptedversion.Acceptedversion
 	if err := codec.Unmarshal(r.Value, &a); err != nil {
 		return nil, errors.Wrap(err, "accepted version")
 	}
-	b, err := p.GetObject(ctx, accepted.ObjectName(accepted.ConfigKey, a.Hash))
+	b, err := p.GetObject(ctx, acceptedversion.ObjectName(acceptedversion.ConfigKey, a.Hash))
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/edit.go
+++ b/cmd/edit.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 	"github.com/urfave/cli/v3"
 
-	"celeryreach.example/celeryreach/accepted"
+	"celeryreach.example/celeryreach/acceptedversion"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/config"
 	"celeryreach.example/celeryreach/difference"
@@ -106,7 +106,7 @@
 // awaitVersion loads the configuration once the host has the accepted version or a
 // later one. The host that reports a conflict may apply that version shortly
 // afterwards.
-func (m *Cmd) awaitVersion(ctx context.Context, n *connection, a accepted.Accepted) (*config.Config, error) {
+func (m *Cmd) awaitVersion(ctx context.Context, n *connection, a acceptedversion.Acceptedversion) (*config.Config, error) {
 	x, f := context.WithTimeout(ctx, versionPollTimeout)
 	defer f()
 	for {
@@ -140,7 +140,7 @@
 // is in force.
 func (m *Cmd) reportAccepted(ctx context.Context, c *cli.Command, n *connection, r changeResult) error {
 	// The next command sent to this host must see the change.
-	_, l := m.awaitVersion(ctx, n, accepted.Accepted{Version: r.Version})
+	_, l := m.awaitVersion(ctx, n, acceptedversion.Acceptedversion{Version: r.Version})
 	a := true
 	if c.Bool("wait") && n.client != nil {
 		r.Hosts, a = m.awaitRollout(ctx, n, r.Version, c.Duration("wait-for"))
--- a/cmd/experiment.go
+++ b/cmd/experiment.go
@@ -5,7 +5,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"celeryreach.example/celeryreach/experiment"
+	"celeryreach.example/celeryreach/quotaexperiment"
 )
 
 func (m *Cmd) experimentCommand() *cli.Command {
@@ -39,7 +39,7 @@
 }
 
 func runExperimentQuota(_ context.Context, c *cli.Command) error {
-	e := &experiment.Experiment{
+	e := &quotaexperiment.Quotaexperiment{
 		Out: c.Root().Writer, Seed: c.Uint64("seed"), Short: c.Bool("short"), Holders: c.IntSlice("holders"),
 		Methods: c.StringSlice("way"), Scenarios: c.StringSlice("scenario"),
 	}
--- a/cmd/experimentbackend.go
+++ b/cmd/experimentbackend.go
@@ -9,7 +9,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"celeryreach.example/celeryreach/backendtrial"
+	"celeryreach.example/celeryreach/backendsimulation"
 )
 
 func experimentBackendCommand() *cli.Command {
@@ -27,13 +27,13 @@
 func runExperimentBackend(_ context.Context, c *cli.Command) error {
 	t := tabwriter.NewWriter(c.Root().Writer, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "trouble\tbalancer\tsent\tanswered\tfailed\trefused\tshed\tafterwards\tp50\tp99")
-	for _, v := range backendtrial.Faults() {
+	for _, v := range backendsimulation.Faults() {
 		for _, f := range []bool{true, false} {
 			n := "new"
 			if f {
 				n = "first"
 			}
-			b := &backendtrial.Backendtrial{Seed: c.Uint64("seed"), For: c.Duration("for"), Fault: v, Baseline: f}
+			b := &backendsimulation.Backendsimulation{Seed: c.Uint64("seed"), For: c.Duration("for"), Fault: v, Baseline: f}
 			fmt.Fprintf(t, "%s\t%s\t%s\n", v, n, strings.ReplaceAll(b.Run(), " ", "\t"))
 		}
 	}
--- a/cmd/experimentcapacity.go
+++ b/cmd/experimentcapacity.go
@@ -9,7 +9,7 @@
 	"github.com/urfave/cli/v3"
 
 	"celeryreach.example/celeryreach/capacity"
-	"celeryreach.example/celeryreach/target"
+	"celeryreach.example/celeryreach/targetsize"
 )
 
 // tablesMarker is the line of the page that precedes the tables.
@@ -29,7 +29,7 @@
 
 func (m *Cmd) runExperimentCapacity(ctx context.Context, c *cli.Command) error {
 	var b bytes.Buffer
-	v := &capacity.Capacity{Clock: m.Clock, Target: target.New(), Out: &b, Short: c.Bool("short")}
+	v := &capacity.Capacity{Clock: m.Clock, Target: targetsize.New(), Out: &b, Short: c.Bool("short")}
 	if err := v.Run(ctx); err != nil {
 		return err
 	}
--- a/cmd/experimentconfig.go
+++ b/cmd/experimentconfig.go
@@ -7,8 +7,8 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/urfave/cli/v3"
 
-	"celeryreach.example/celeryreach/configtrial"
-	"celeryreach.example/celeryreach/relaytrial"
+	"celeryreach.example/celeryreach/configbenchmark"
+	"celeryreach.example/celeryreach/relaybenchmark"
 )
 
 // relayContentBytes is the size of the configuration that is relayed in the
@@ -27,7 +27,7 @@
 		Action: func(ctx context.Context, c *cli.Command) error {
 			l := logger()
 			l.SetLevel(log.ErrorLevel)
-			t := &configtrial.Configtrial{
+			t := &configbenchmark.Configbenchmark{
 				Clock: clockwork.NewRealClock(), Out: c.Root().Writer, Log: l,
 				Changes: c.Int("changes"), Accounts: c.Int("accounts"),
 			}
@@ -35,7 +35,7 @@
 				return err
 			}
 			for _, n := range c.IntSlice("fleet") {
-				r := &relaytrial.Relaytrial{Out: c.Root().Writer, Hosts: n, Sites: max(1, n*850/7900), Domains: min(27, max(1, n*850/7900)), Content: relayContentBytes}
+				r := &relaybenchmark.Relaybenchmark{Out: c.Root().Writer, Hosts: n, Sites: max(1, n*850/7900), Domains: min(27, max(1, n*850/7900)), Content: relayContentBytes}
 				if err := r.Run(ctx); err != nil {
 					return err
 				}
--- a/cmd/experimentplacement.go
+++ b/cmd/experimentplacement.go
@@ -10,7 +10,7 @@
 	"github.com/urfave/cli/v3"
 
 	"celeryreach.example/celeryreach/placementplot"
-	"celeryreach.example/celeryreach/placementtrial"
+	"celeryreach.example/celeryreach/placementsimulation"
 )
 
 func experimentPlacementCommand() *cli.Command {
@@ -34,12 +34,12 @@
 	l := placementplot.New()
 	fmt.Fprintln(t, "trouble\tway\tin time, all\tin the trouble\tafter it")
 	for _, x := range []string{
-		placementtrial.Calm, placementtrial.Lost, placementtrial.Short, placementtrial.Slow, placementtrial.Burst, placementtrial.Restricted,
+		placementsimulation.Calm, placementsimulation.Lost, placementsimulation.Short, placementsimulation.Slow, placementsimulation.Burst, placementsimulation.Restricted,
 	} {
 		for _, w := range []string{
-			placementtrial.Random, placementtrial.LeastLoaded, placementtrial.Affinity, placementtrial.Anywhere, placementtrial.Eager, placementtrial.Current,
+			placementsimulation.Random, placementsimulation.LeastLoaded, placementsimulation.Affinity, placementsimulation.Anywhere, placementsimulation.Eager, placementsimulation.Current,
 		} {
-			p := &placementtrial.Placementtrial{Seed: c.Uint64("seed"), For: d, Policy: w, Trouble: x, Regions: c.Int("regions")}
+			p := &placementsimulation.Placementsimulation{Seed: c.Uint64("seed"), For: d, Policy: w, Trouble: x, Regions: c.Int("regions")}
 			p.Run()
 			l.Add(p)
 			fmt.Fprintf(t, "%s\t%s\t%.3f\t%.3f\t%.3f\n", x, w, p.Timely(0, d), p.Timely(4*time.Second, 12*time.Second), p.Timely(12*time.Second, d))
--- a/cmd/experimentqueue.go
+++ b/cmd/experimentqueue.go
@@ -9,7 +9,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"celeryreach.example/celeryreach/contention"
+	"celeryreach.example/celeryreach/queuesimulation"
 )
 
 func experimentQueueCommand() *cli.Command {
@@ -29,13 +29,13 @@
 	d := c.Duration("for")
 	for _, v := range []struct {
 		name string
-		run  contention.Contention
+		run  queuesimulation.Queuesimulation
 	}{
 		{name: "one line in order of arrival (baseline)"},
-		{name: "fair, oldest first", run: contention.Contention{Fair: true}},
-		{name: "fair, newest first after 50ms", run: contention.Contention{Fair: true, Patience: 50 * time.Millisecond}},
-		{name: "fair, newest first after 100ms", run: contention.Contention{Fair: true, Patience: 100 * time.Millisecond}},
-		{name: "fair, newest first after 400ms", run: contention.Contention{Fair: true, Patience: 400 * time.Millisecond}},
+		{name: "fair, oldest first", run: queuesimulation.Queuesimulation{Fair: true}},
+		{name: "fair, newest first after 50ms", run: queuesimulation.Queuesimulation{Fair: true, Patience: 50 * time.Millisecond}},
+		{name: "fair, newest first after 100ms", run: queuesimulation.Queuesimulation{Fair: true, Patience: 100 * time.Millisecond}},
+		{name: "fair, newest first after 400ms", run: queuesimulation.Queuesimulation{Fair: true, Patience: 400 * time.Millisecond}},
 	} {
 		v.run.Seed = s
 		v.run.For = d
--- a/cmd/lookup.go
+++ b/cmd/lookup.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 	"github.com/urfave/cli/v3"
 
-	"celeryreach.example/celeryreach/answer"
 	"celeryreach.example/celeryreach/codec"
+	"celeryreach.example/celeryreach/lookupanswer"
 	"celeryreach.example/celeryreach/outcome"
 )
 
@@ -62,8 +62,8 @@
 }
 
 // fetchLookup sends a look-up request to a host.
-func fetchLookup(ctx context.Context, t http.RoundTripper, u string) (answer.Answer, error) {
-	var a answer.Answer
+func fetchLookup(ctx context.Context, t http.RoundTripper, u string) (lookupanswer.Lookupanswer, error) {
+	var a lookupanswer.Lookupanswer
 	x, f := context.WithTimeout(ctx, callTimeout)
 	defer f()
 	q, err := http.NewRequestWithContext(x, http.MethodGet, u, nil)
--- a/cmd/platform.go
+++ b/cmd/platform.go
@@ -9,8 +9,8 @@
 	"github.com/urfave/cli/v3"
 
 	"celeryreach.example/celeryreach/httplisten"
-	"celeryreach.example/celeryreach/standin"
-	"celeryreach.example/celeryreach/table"
+	"celeryreach.example/celeryreach/memorytable"
+	"celeryreach.example/celeryreach/platformstandin"
 )
 
 func platformCommand() *cli.Command {
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	h := &standin.Standin{Clock: clockwork.NewRealClock(), Table: new(table.Table)}
+	h := &platformstandin.Platformstandin{Clock: clockwork.NewRealClock(), Table: new(memorytable.Memorytable)}
 	logger().Info("platform stand-in serves", "Address", n.Addr())
 	return (&httplisten.Httplisten{Listener: n, Handler: h, DrainTimeout: time.Second}).Run(ctx)
 }
--- a/cmd/report_burn.go
+++ b/cmd/report_burn.go
@@ -8,9 +8,9 @@
 	"github.com/urfave/cli/v3"
 
 	"celeryreach.example/celeryreach/burnpage"
+	"celeryreach.example/celeryreach/hostcounts"
 	"celeryreach.example/celeryreach/member"
 	"celeryreach.example/celeryreach/report"
-	"celeryreach.example/celeryreach/sums"
 )
 
 func (m *Cmd) reportBurn() *cli.Command {
@@ -36,7 +36,7 @@
 		return err
 	}
 	g := n.collectSums(ctx, append(append([]member.Member{s.Host}, s.Peers...), s.Missing...))
-	var kept []sums.Sums
+	var kept []hostcounts.Hostcounts
 	err = n.client.Get(ctx, "/burn/kept", &kept)
 	r := report.Build(v, append(g.sums, kept...), m.Clock.Now())
 	r.Hosts, r.Silent = g.hosts, g.silent
@@ -57,7 +57,7 @@
 // burnResponses holds the counts of the hosts that responded, the names of these
 // hosts, and the errors of the others by host.
 type burnResponses struct {
-	sums   []sums.Sums
+	sums   []hostcounts.Hostcounts
 	hosts  []string
 	silent map[string]string
 }
@@ -66,7 +66,7 @@
 func (n *connection) collectSums(ctx context.Context, hosts []member.Member) burnResponses {
 	type answer struct {
 		host string
-		sums sums.Sums
+		sums hostcounts.Hostcounts
 		err  error
 	}
 	c := make(chan answer)
@@ -91,7 +91,7 @@
 }
 
 // replacedProcesses returns each host and incarnation in kept once.
-func replacedProcesses(kept []sums.Sums) []string {
+func replacedProcesses(kept []hostcounts.Hostcounts) []string {
 	var r []string
 	d := make(map[string]bool)
 	for _, s := range kept {
--- a/cmd/status_why.go
+++ b/cmd/status_why.go
@@ -8,8 +8,8 @@
 
 	"github.com/urfave/cli/v3"
 
+	"celeryreach.example/celeryreach/lookupexplanation"
 	"celeryreach.example/celeryreach/route"
-	"celeryreach.example/celeryreach/why"
 )
 
 func (m *Cmd) statusWhy() *cli.Command {
@@ -29,14 +29,14 @@
 	}
 	defer n.close()
 	q := url.Values{"account": {a[0]}, "service": {a[1]}, "region": {c.String("region")}, "address": {c.String("address")}}
-	var w why.Why
+	var w lookupexplanation.Lookupexplanation
 	if err := n.client.Get(ctx, "/why?"+q.Encode(), &w); err != nil {
 		return err
 	}
 	return m.writeResult(c, w, func() { m.writeWhy(w) })
 }
 
-func (m *Cmd) writeWhy(w why.Why) {
+func (m *Cmd) writeWhy(w lookupexplanation.Lookupexplanation) {
 	b := w.Block
 	if b == "" {
 		b = "no client block has the address"
--- a/coldpace/coldpace.go
+++ b/coldrate/coldrate.go
@@ -1,6 +1,6 @@
 // Package coldpace divides the request rate that a cold backend server can handle between
 // the hosts that may send to it.
-package coldpace
+package coldrate
 
 import (
 	"sort"
@@ -21,7 +21,7 @@
 // Coldpace computes how many requests per second this host may send to a cold backend
 // server. A backend server that restarts cold crashes again under full load. No host can
 // count the requests of all hosts in time, so each has a fixed part of the rate.
-type Coldpace struct {
+type Coldrate struct {
 	// Self is the name of this host.
 	Self string
 	// Hosts returns the names of all hosts that may send requests, this one included.
@@ -33,7 +33,7 @@
 
 // Part returns how many requests this host may send in any second to a cold backend
 // server that can handle rate requests per second.
-func (c *Coldpace) Share(backend string, rate float64) int {
+func (c *Coldrate) Share(backend string, rate float64) int {
 	t := int((rate*c.Overage + c.Slack) * safetyFactor)
 	h := c.Hosts()
 	if len(h) == 0 {
--- a/coldpace/coldpace_test.go
+++ b/coldrate/coldrate_test.go
@@ -1,4 +1,4 @@
-package coldpace_test
+package coldrate_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 	"pgregory.net/rapid"
 
-	"celeryreach.example/celeryreach/coldpace"
+	"celeryreach.example/celeryreach/coldrate"
 )
 
 // A backend server starts under full load, and each host sends as much as its part allows.
@@ -24,7 +24,7 @@
 		}
 		sum := 0
 		for _, v := range h {
-			c := coldpace.Coldpace{Self: v, Hosts: func() []string { return h }, Overage: 1.5, Slack: 5}
+			c := coldrate.Coldrate{Self: v, Hosts: func() []string { return h }, Overage: 1.5, Slack: 5}
 			sum += c.Share("b", r)
 		}
 		must.LessEq(t, r*1.5+5, float64(sum))
@@ -42,7 +42,7 @@
 		for range rapid.IntRange(1, 100).Draw(t, "requests") {
 			n = n.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			var ok bool
-			sent, ok = coldpace.Allow(sent, p, n)
+			sent, ok = coldrate.Allow(sent, p, n)
 			if ok {
 				sent = append(sent, n)
 				all = append(all, n)
--- a/group/group.go
+++ b/commitbatch/commitbatch.go
@@ -1,5 +1,5 @@
 // Package group batches conditional row writes into one commit.
-package group
+package commitbatch
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 // Group batches the writes of a host that arrive close together. The platform
 // accepts a few hundred commits per second from all hosts in total, regardless
 // of the number of rows in each. One commit per request would exceed that.
-type Group struct {
+type Commitbatch struct {
 	// Clock paces the commits.
 	Clock clockwork.Clock
 	// Commit applies one transaction.
@@ -48,7 +48,7 @@
 // rows that have no other writer. It returns false if a row of the commit, not
 // necessarily r, had another version. After an error the outcome is unknown.
 // The end of ctx does not cancel the write.
-func (g *Group) Write(ctx context.Context, r row.Row, index ...row.Row) (bool, error) {
+func (g *Commitbatch) Write(ctx context.Context, r row.Row, index ...row.Row) (bool, error) {
 	b := g.join(ctx, r, index)
 	select {
 	case <-b.done:
@@ -59,7 +59,7 @@
 }
 
 // join adds a write to the open batch, and starts a new batch if none is open.
-func (g *Group) join(ctx context.Context, r row.Row, index []row.Row) *batch {
+func (g *Commitbatch) join(ctx context.Context, r row.Row, index []row.Row) *batch {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	b := g.openBatch
@@ -85,7 +85,7 @@
 }
 
 // run closes the batch to further writes after wait, and commits it.
-func (g *Group) run(ctx context.Context, b *batch, wait time.Duration) {
+func (g *Commitbatch) run(ctx context.Context, b *batch, wait time.Duration) {
 	defer close(b.done)
 	if wait > 0 {
 		<-g.Clock.After(wait)
--- a/group/group_test.go
+++ b/commitbatch/commitbatch_test.go
@@ -1,4 +1,4 @@
-package group_test
+package commitbatch_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 
 	"celeryreach.example/celeryreach/commit"
-	"celeryreach.example/celeryreach/group"
+	"celeryreach.example/celeryreach/commitbatch"
 	"celeryreach.example/celeryreach/row"
 )
 
@@ -20,7 +20,7 @@
 func TestWritesShareCommits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := make(chan int, 100)
-		g := &group.Group{
+		g := &commitbatch.Commitbatch{
 			Clock: clockwork.NewRealClock(), MinInterval: time.Second, MaxRows: 100, Timeout: time.Hour,
 			Commit: func(_ context.Context, k commit.Commit) (bool, error) {
 				s <- len(k.Put)
--- a/drained/drained.go
+++ b/completeddrain/completeddrain.go
@@ -1,10 +1,10 @@
 // Package drained describes completed drains.
-package drained
+package completeddrain
 
 import "time"
 
 // Drained describes a draining backend server that became idle on one host.
-type Drained struct {
+type Completeddrain struct {
 	// At is the time at which the backend server became idle.
 	At time.Time
 	// Backend is the name of the backend server.
--- a/role/role.go
+++ b/componentcost/componentcost.go
@@ -1,9 +1,9 @@
 // Package role defines a row in the table of roles of the capacity page.
-package role
+package componentcost
 
 // Role is the cost of one role of the system, such as look-up or admission, at the
 // target size. A figure of zero means that the role has no such cost.
-type Role struct {
+type Componentcost struct {
 	// Name is the name of the role, the first column of the table.
 	Name string
 	// State is the memory that the role uses on a host, in bytes.
--- a/configtrial/configtrial.go
+++ b/configbenchmark/configbenchmark.go
@@ -1,6 +1,6 @@
 // Package configtrial measures the time until an accepted configuration is in
 // force on every host of a small deployment on the loopback interface.
-package configtrial
+package configbenchmark
 
 import (
 	"bytes"
@@ -17,11 +17,11 @@
 	"github.com/pkg/errors"
 
 	"celeryreach.example/celeryreach/account"
-	"celeryreach.example/celeryreach/answer"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/config"
 	"celeryreach.example/celeryreach/domain"
 	"celeryreach.example/celeryreach/fleet"
+	"celeryreach.example/celeryreach/lookupanswer"
 	"celeryreach.example/celeryreach/preset"
 	"celeryreach.example/celeryreach/region"
 	"celeryreach.example/celeryreach/service"
@@ -36,7 +36,7 @@
 
 // Configtrial runs a deployment of six failure domains with two hosts each, and
 // changes its configuration repeatedly.
-type Configtrial struct {
+type Configbenchmark struct {
 	// Clock is the clock of all components.
 	Clock clockwork.Clock
 	// Log receives the log lines of all components.
@@ -52,7 +52,7 @@
 }
 
 // Run measures the changes and prints the median and the maximum time.
-func (c *Configtrial) Run(ctx context.Context) error {
+func (c *Configbenchmark) Run(ctx context.Context) error {
 	c.fleet = &fleet.Fleet{Clock: c.Clock, Log: c.Log, Config: c.newConfig(), HostsPerDomain: hostsPerDomain}
 	err := c.fleet.Start(ctx)
 	if err == nil {
@@ -64,7 +64,7 @@
 	return err
 }
 
-func (c *Configtrial) measure(ctx context.Context) error {
+func (c *Configbenchmark) measure(ctx context.Context) error {
 	n := c.fleet.Config
 	h := c.fleet.Hosts()
 	var d, o []time.Duration
@@ -104,7 +104,7 @@
 }
 
 // awaitVersion waits until each host has at least the given version.
-func (c *Configtrial) awaitVersion(ctx context.Context, version uint64) error {
+func (c *Configbenchmark) awaitVersion(ctx context.Context, version uint64) error {
 	for _, h := range c.fleet.Hosts() {
 		if err := c.fleet.Await(ctx, h, func() bool { return c.hostVersion(ctx, h) >= version }); err != nil {
 			return err
@@ -113,8 +113,8 @@
 	return nil
 }
 
-func (c *Configtrial) hostVersion(ctx context.Context, host string) uint64 {
-	var a answer.Answer
+func (c *Configbenchmark) hostVersion(ctx context.Context, host string) uint64 {
+	var a lookupanswer.Lookupanswer
 	b, err := c.call(ctx, http.MethodGet, "http://"+c.fleet.Settings(host).CallerAddress+"/lookup", nil)
 	if err != nil || codec.Unmarshal(b, &a) != nil {
 		return 0
@@ -122,12 +122,12 @@
 	return a.ConfigVersion
 }
 
-func (c *Configtrial) putConfig(ctx context.Context, host string, from uint64, b []byte) error {
+func (c *Configbenchmark) putConfig(ctx context.Context, host string, from uint64, b []byte) error {
 	_, err := c.call(ctx, http.MethodPut, "http://"+c.fleet.Settings(host).OperatorAddress+"/config?from="+strconv.FormatUint(from, 10), b)
 	return err
 }
 
-func (c *Configtrial) call(ctx context.Context, method, url string, body []byte) ([]byte, error) {
+func (c *Configbenchmark) call(ctx context.Context, method, url string, body []byte) ([]byte, error) {
 	q, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -146,7 +146,7 @@
 }
 
 // newConfig returns a configuration with the requested number of accounts.
-func (c *Configtrial) newConfig() config.Config {
+func (c *Configbenchmark) newConfig() config.Config {
 	n := config.Config{
 		Preset: "Ordinary",
 		Presets: []preset.Preset{{
--- a/change/change.go
+++ b/configcommit/configcommit.go
@@ -1,5 +1,5 @@
 // Package change commits new versions of the configuration.
-package change
+package configcommit
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"celeryreach.example/celeryreach/accepted"
+	"celeryreach.example/celeryreach/acceptedversion"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/config"
 	"celeryreach.example/celeryreach/conflict"
@@ -17,24 +17,24 @@
 )
 
 // Change commits configurations to the platform.
-type Change struct {
+type Configcommit struct {
 	// Platform stores the accepted configuration.
 	Platform store.Store
 	// Clock paces the retries after a lost answer; nil means the real clock.
 	Clock clockwork.Clock
 	// Accepted is called with a version that was just accepted, so that it is
 	// put in force and relayed at once; nil means no call.
-	OnAccepted func(a accepted.Accepted, content []byte)
+	OnAccepted func(a acceptedversion.Acceptedversion, content []byte)
 }
 
 // Commit accepts n as the successor of version from. If another version was
 // accepted in between, it returns false and changes nothing. After an error the
 // change may still take effect.
-func (c *Change) Commit(ctx context.Context, from uint64, n config.Config) (accepted.Accepted, bool, error) {
+func (c *Configcommit) Commit(ctx context.Context, from uint64, n config.Config) (acceptedversion.Acceptedversion, bool, error) {
 	n.Version = from + 1
 	b, err := codec.Marshal(n)
 	if err != nil {
-		return accepted.Accepted{}, false, errors.Wrap(err, "configuration")
+		return acceptedversion.Acceptedversion{}, false, errors.Wrap(err, "configuration")
 	}
 	a, ok, err := c.newPublish().Commit(ctx, from, b)
 	if err == nil && ok && c.OnAccepted != nil {
@@ -46,7 +46,7 @@
 // Explain lists both changes after a conflict: the differences that were
 // accepted since version from, and those that n would have made. The lists are
 // empty if the platform no longer returns the versions.
-func (c *Change) Explain(ctx context.Context, from uint64, n config.Config, a accepted.Accepted) conflict.Conflict {
+func (c *Configcommit) Explain(ctx context.Context, from uint64, n config.Config, a acceptedversion.Acceptedversion) conflict.Conflict {
 	r := conflict.Conflict{From: from, Accepted: a.Version}
 	o, err := c.load(ctx, from, a)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return r
 }
 
-func (c *Change) load(ctx context.Context, version uint64, a accepted.Accepted) (*config.Config, error) {
+func (c *Configcommit) load(ctx context.Context, version uint64, a acceptedversion.Acceptedversion) (*config.Config, error) {
 	if version == 0 {
 		return new(config.Config), nil
 	}
@@ -71,7 +71,7 @@
 	if !ok {
 		return nil, errors.Errorf("hash of configuration version %d is no longer stored", version)
 	}
-	b, err := c.Platform.GetObject(ctx, accepted.ObjectName(accepted.ConfigKey, h))
+	b, err := c.Platform.GetObject(ctx, acceptedversion.ObjectName(acceptedversion.ConfigKey, h))
 	if err != nil {
 		return nil, err
 	}
@@ -79,10 +79,10 @@
 	return r, errors.Wrapf(codec.Unmarshal(b, r), "configuration %d", version)
 }
 
-func (c *Change) newPublish() *publish.Publish {
+func (c *Configcommit) newPublish() *publish.Publish {
 	k := c.Clock
 	if k == nil {
 		k = clockwork.NewRealClock()
 	}
-	return &publish.Publish{Clock: k, Platform: c.Platform, Key: accepted.ConfigKey}
+	return &publish.Publish{Clock: k, Platform: c.Platform, Key: acceptedversion.ConfigKey}
 }
--- a/follower/follower.go
+++ b/configfollower/configfollower.go
@@ -1,5 +1,5 @@
 // Package follower keeps a host on the latest accepted configuration.
-package follower
+package configfollower
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/charmbracelet/log"
 	"github.com/jonboulle/clockwork"
 
-	"celeryreach.example/celeryreach/accepted"
+	"celeryreach.example/celeryreach/acceptedversion"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/config"
 	"celeryreach.example/celeryreach/replica"
@@ -23,7 +23,7 @@
 
 // Follower receives configurations from the platform and from peers, and applies
 // only versions higher than the current one.
-type Follower struct {
+type Configfollower struct {
 	// Clock paces the polling.
 	Clock clockwork.Clock
 	// Log receives one line for each applied version.
@@ -43,20 +43,20 @@
 }
 
 // Snapshot returns the configuration in force, nil before the first.
-func (f *Follower) Snapshot() *snapshot.Snapshot {
+func (f *Configfollower) Snapshot() *snapshot.Snapshot {
 	return f.current.Load()
 }
 
 // Content returns the configuration in force in its stored form.
-func (f *Follower) Content() (version uint64, hash string, content []byte) {
+func (f *Configfollower) Content() (version uint64, hash string, content []byte) {
 	return f.Replica().Content()
 }
 
 // Replica returns the replica through which peers exchange the configuration.
-func (f *Follower) Replica() *replica.Replica {
+func (f *Configfollower) Replica() *replica.Replica {
 	f.once.Do(func() {
 		f.replica = &replica.Replica{
-			Kind: Kind, Key: accepted.ConfigKey, Log: f.Log, Platform: f.Platform, Apply: f.apply, Changed: f.Changed,
+			Kind: Kind, Key: acceptedversion.ConfigKey, Log: f.Log, Platform: f.Platform, Apply: f.apply, Changed: f.Changed,
 			Clock: f.Clock, PollInterval: f.Poll, Polled: f.Polled,
 		}
 	})
@@ -65,16 +65,16 @@
 
 // Offer applies content if its version is higher than the one in force. The
 // content must have the hash that was accepted with the version.
-func (f *Follower) Offer(version uint64, hash string, content []byte) error {
+func (f *Configfollower) Offer(version uint64, hash string, content []byte) error {
 	return f.Replica().Offer(version, hash, content)
 }
 
 // Run polls the platform until ctx ends.
-func (f *Follower) Run(ctx context.Context) error {
+func (f *Configfollower) Run(ctx context.Context) error {
 	return f.Replica().Run(ctx)
 }
 
-func (f *Follower) apply(version uint64, hash string, content []byte) error {
+func (f *Configfollower) apply(version uint64, hash string, content []byte) error {
 	c := new(config.Config)
 	if err := codec.Unmarshal(content, c); err != nil {
 		return err
--- a/follower/written_test.go
+++ b/configfollower/written_test.go
@@ -1,4 +1,4 @@
-package follower
+package configfollower
 
 import (
 	"testing"
--- a/history/history.go
+++ b/confighistory/confighistory.go
@@ -1,7 +1,7 @@
 // Package history keeps the last configuration versions that a host had in
 // force, so that an operator whose change conflicts with a newer version can be
 // shown the changes in between.
-package history
+package confighistory
 
 import (
 	"sync"
@@ -13,13 +13,13 @@
 
 // History holds the last versions in memory. A new process starts with none:
 // the operator is then shown only the difference from the newest version.
-type History struct {
+type Confighistory struct {
 	mu       sync.Mutex
 	versions []*config.Config
 }
 
 // Add stores c, unless c is not newer than the newest stored version.
-func (h *History) Add(c *config.Config) {
+func (h *Confighistory) Add(c *config.Config) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := len(h.versions)
@@ -33,7 +33,7 @@
 }
 
 // Version returns the configuration with version v, or nil if it is not stored.
-func (h *History) Version(v uint64) *config.Config {
+func (h *Confighistory) Version(v uint64) *config.Config {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.versions {
--- a/keep/keep.go
+++ b/countstore/countstore.go
@@ -1,6 +1,6 @@
 // Package keep stores the counters of a host on the platform, so that the burn
 // report includes hosts that have been replaced.
-package keep
+package countstore
 
 import (
 	"context"
@@ -11,12 +11,12 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"celeryreach.example/celeryreach/accepted"
+	"celeryreach.example/celeryreach/acceptedversion"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/commit"
+	"celeryreach.example/celeryreach/hostcounts"
 	"celeryreach.example/celeryreach/row"
 	"celeryreach.example/celeryreach/store"
-	"celeryreach.example/celeryreach/sums"
 )
 
 const (
@@ -30,7 +30,7 @@
 // shutdown. A host that crashes loses the counts since the last interval, and
 // the report cannot detect the loss. That is the price of two writes in five
 // minutes instead of two per second.
-type Keep struct {
+type Countstore struct {
 	// Clock paces the writes.
 	Clock clockwork.Clock
 	// Log receives one line for each failed write.
@@ -40,7 +40,7 @@
 	// Every is the interval between two writes.
 	Interval time.Duration
 	// Sums returns the host's counts.
-	Sums func() sums.Sums
+	Sums func() hostcounts.Hostcounts
 
 	savedUntil   time.Time
 	nextSequence int
@@ -56,7 +56,7 @@
 }
 
 // Run writes at each interval until ctx ends, and then once more.
-func (k *Keep) Run(ctx context.Context) error {
+func (k *Countstore) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -73,7 +73,7 @@
 
 // save writes the counts before to. Counts that could not be written are
 // included in the next write.
-func (k *Keep) save(ctx context.Context, to time.Time) {
+func (k *Countstore) save(ctx context.Context, to time.Time) {
 	s := between(k.Sums(), k.savedUntil, to)
 	if len(s.Tallies) == 0 && len(s.Drains) == 0 {
 		k.savedUntil = to
@@ -86,12 +86,12 @@
 	k.savedUntil = to
 }
 
-func (k *Keep) write(ctx context.Context, s sums.Sums) error {
+func (k *Countstore) write(ctx context.Context, s hostcounts.Hostcounts) error {
 	b, err := codec.Marshal(s)
 	if err != nil {
 		return errors.Wrap(err, "counts")
 	}
-	e := entry{Host: s.Host, Incarnation: s.Incarnation, At: s.At, Hash: accepted.Hash(b)}
+	e := entry{Host: s.Host, Incarnation: s.Incarnation, At: s.At, Hash: acceptedversion.Hash(b)}
 	if err := k.Platform.PutObject(ctx, prefix+e.Hash, b); err != nil {
 		return err
 	}
@@ -120,12 +120,12 @@
 // Kept returns the counts of processes that no longer run, and removes the rows
 // that are older than the longest window. Alive reports whether a process still
 // runs and therefore returns its counts itself.
-func (k *Keep) Load(ctx context.Context, alive func(host string, incarnation uint64) bool) ([]sums.Sums, error) {
+func (k *Countstore) Load(ctx context.Context, alive func(host string, incarnation uint64) bool) ([]hostcounts.Hostcounts, error) {
 	l, err := k.Platform.Scan(ctx, prefix)
 	if err != nil {
 		return nil, err
 	}
-	var r []sums.Sums
+	var r []hostcounts.Hostcounts
 	var c commit.Commit
 	for _, v := range l {
 		var e entry
@@ -152,8 +152,8 @@
 	return r, nil
 }
 
-func (k *Keep) read(ctx context.Context, hash string) (sums.Sums, error) {
-	var s sums.Sums
+func (k *Countstore) read(ctx context.Context, hash string) (hostcounts.Hostcounts, error) {
+	var s hostcounts.Hostcounts
 	b, err := k.Platform.GetObject(ctx, prefix+hash)
 	if err != nil {
 		return s, err
@@ -164,8 +164,8 @@
 // between returns the counts of a time range. Histograms are left out, because
 // they cannot be split by time; the report names the hosts whose histograms it
 // includes.
-func between(s sums.Sums, from, to time.Time) sums.Sums {
-	r := sums.Sums{Host: s.Host, Incarnation: s.Incarnation, Region: s.Region, At: s.At}
+func between(s hostcounts.Hostcounts, from, to time.Time) hostcounts.Hostcounts {
+	r := hostcounts.Hostcounts{Host: s.Host, Incarnation: s.Incarnation, Region: s.Region, At: s.At}
 	i := func(unix int64) bool { return unix >= from.Unix() && unix < to.Unix() }
 	for _, v := range s.Tallies {
 		if i(v.Minute * 60) {
--- a/keep/keep_test.go
+++ b/countstore/countstore_test.go
@@ -1,4 +1,4 @@
-package keep_test
+package countstore_test
 
 import (
 	"context"
@@ -13,17 +13,17 @@
 	"github.com/shoenig/test/must"
 
 	"celeryreach.example/celeryreach/commit"
-	"celeryreach.example/celeryreach/keep"
+	"celeryreach.example/celeryreach/countstore"
+	"celeryreach.example/celeryreach/hostcounts"
+	"celeryreach.example/celeryreach/memorytable"
+	"celeryreach.example/celeryreach/requestcounts"
 	"celeryreach.example/celeryreach/row"
 	"celeryreach.example/celeryreach/store"
-	"celeryreach.example/celeryreach/sums"
-	"celeryreach.example/celeryreach/table"
-	"celeryreach.example/celeryreach/tally"
 )
 
 // faultyStore is an in-memory platform whose object writes can fail.
 type faultyStore struct {
-	table   table.Table
+	table   memorytable.Memorytable
 	mu      sync.Mutex
 	objects map[string][]byte
 	down    bool
@@ -61,16 +61,16 @@
 func TestCountsStoredOnce(t *testing.T) {
 	c := clockwork.NewFakeClockAt(time.Unix(60_000_000, 0))
 	s := &faultyStore{objects: make(map[string][]byte), puts: make(chan struct{}, 10), down: true}
-	v := sums.Sums{Host: "h", Incarnation: 7, Region: "north"}
+	v := hostcounts.Hostcounts{Host: "h", Incarnation: 7, Region: "north"}
 	var mu sync.Mutex
 	count := func(n uint64) {
 		mu.Lock()
 		defer mu.Unlock()
-		v.Tallies = append(v.Tallies, tally.Tally{Minute: c.Now().Unix() / 60, Account: "a", Service: "s", Answered: n})
+		v.Tallies = append(v.Tallies, requestcounts.Requestcounts{Minute: c.Now().Unix() / 60, Account: "a", Service: "s", Answered: n})
 	}
-	k := &keep.Keep{
+	k := &countstore.Countstore{
 		Clock: c, Log: log.New(io.Discard), Platform: s.platform(), Interval: time.Minute,
-		Sums: func() sums.Sums {
+		Sums: func() hostcounts.Hostcounts {
 			mu.Lock()
 			defer mu.Unlock()
 			v.At = c.Now()
--- a/keep/written_test.go
+++ b/countstore/written_test.go
@@ -1,4 +1,4 @@
-package keep
+package countstore
 
 import (
 	"testing"
--- a/trail/trail.go
+++ b/decisionlog/decisionlog.go
@@ -1,6 +1,6 @@
 // Package trail buffers the log entries of one request until it is known whether they
 // need to be logged.
-package trail
+package decisionlog
 
 import (
 	"sync"
@@ -15,7 +15,7 @@
 // Trail is the list of decisions made for one request, in order. Logged immediately,
 // the decisions for successful requests would make up nearly all log lines; buffered,
 // they use memory only while the request is handled. A nil Trail records nothing.
-type Trail struct {
+type Decisionlog struct {
 	mu    sync.Mutex
 	steps []step
 }
@@ -27,7 +27,7 @@
 }
 
 // Add records a decision and, in fields, the values that it was based on.
-func (t *Trail) Add(at time.Time, text string, fields ...any) {
+func (t *Decisionlog) Add(at time.Time, text string, fields ...any) {
 	if t == nil {
 		return
 	}
@@ -40,7 +40,7 @@
 
 // Write logs one line for each decision and clears the trail. The field Ago is the time
 // between the decision and the log line.
-func (t *Trail) Write(l *log.Logger, request string, now time.Time) {
+func (t *Decisionlog) Write(l *log.Logger, request string, now time.Time) {
 	if t == nil {
 		return
 	}
--- a/once/once.go
+++ b/dedup/dedup.go
@@ -1,6 +1,6 @@
 // Package once runs a non-idempotent request with an id at most once,
 // regardless of the host or failure domain that its attempts reach.
-package once
+package dedup
 
 import (
 	"bytes"
@@ -12,12 +12,12 @@
 	"net/http"
 	"strconv"
 
-	"celeryreach.example/celeryreach/gate"
 	"celeryreach.example/celeryreach/outcome"
 	"celeryreach.example/celeryreach/record"
 	"celeryreach.example/celeryreach/request"
-	"celeryreach.example/celeryreach/ticket"
-	"celeryreach.example/celeryreach/whole"
+	"celeryreach.example/celeryreach/responsecopier"
+	"celeryreach.example/celeryreach/sendgate"
+	"celeryreach.example/celeryreach/ticketstore"
 )
 
 const (
@@ -38,27 +38,27 @@
 // Once runs on the entry host, before the request is sent to its own failure
 // domain or another one. One attempt therefore covers both, and the host that
 // the caller is connected to owns the record.
-type Once struct {
+type Dedup struct {
 	// Begin and End record caller-chosen ids in the store.
 	Begin func(ctx context.Context, account, id, attempt, digest string) (record.Record, outcome.Outcome)
 	End   func(account, id string, r record.Record)
 	// Tickets records tickets in memory.
-	Tickets *ticket.Ticket
+	Tickets *ticketstore.Ticketstore
 }
 
 // Serve runs r, or replays the recorded answer of an earlier attempt.
-func (o *Once) Serve(ctx context.Context, r *request.Request, w http.ResponseWriter, run func(context.Context, *request.Request, http.ResponseWriter) outcome.Outcome) outcome.Outcome {
+func (o *Dedup) Serve(ctx context.Context, r *request.Request, w http.ResponseWriter, run func(context.Context, *request.Request, http.ResponseWriter) outcome.Outcome) outcome.Outcome {
 	d, e := digest(r)
 	if e.Outcome != "" {
 		return e
 	}
 	l := attemptStore{begin: o.Begin, end: o.End}
-	if ticket.Is(r.IdempotencyID) {
+	if ticketstore.Is(r.IdempotencyID) {
 		l = attemptStore{begin: o.Tickets.Begin, end: o.Tickets.End}
 	}
 	c, e := l.begin(ctx, r.Credential.Account, r.IdempotencyID, r.ID, d)
 	if e.Outcome == outcome.Answered {
-		whole.Write(w, c.Status, c.Header, c.Body)
+		responsecopier.Write(w, c.Status, c.Header, c.Body)
 		return e
 	}
 	if e.Outcome != "" {
@@ -71,7 +71,7 @@
 // cancels it. After that point the request continues, because the caller will
 // repeat it to get the outcome, and a canceled request has none.
 func (l attemptStore) run(ctx context.Context, r *request.Request, w http.ResponseWriter, c record.Record, run func(context.Context, *request.Request, http.ResponseWriter) outcome.Outcome) outcome.Outcome {
-	r.Gate = new(gate.Gate)
+	r.Gate = new(sendgate.Sendgate)
 	x, a := context.WithCancel(context.WithoutCancel(ctx))
 	defer a()
 	s := context.AfterFunc(ctx, func() {
--- a/once/recordingwriter.go
+++ b/dedup/recordingwriter.go
@@ -1,4 +1,4 @@
-package once
+package dedup
 
 import (
 	"bytes"
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -12,9 +12,9 @@
 	"github.com/charmbracelet/log"
 	"github.com/jonboulle/clockwork"
 
+	"celeryreach.example/celeryreach/callersim"
 	"celeryreach.example/celeryreach/counter"
 	"celeryreach.example/celeryreach/fleet"
-	"celeryreach.example/celeryreach/sample"
 )
 
 const (
@@ -39,7 +39,7 @@
 		Slots: slotsPerBackend, RequestDuration: backendWork, ColdFor: backendCold,
 	}
 	c := &counter.Counter{Prefix: "Demo."}
-	p := &sample.Sample{Clock: d.Clock, Counter: c, Seed: 1}
+	p := &callersim.Callersim{Clock: d.Clock, Counter: c, Seed: 1}
 	err := f.Start(ctx)
 	if err == nil {
 		d.printUsage(f)
--- a/demo/summary.go
+++ b/demo/summary.go
@@ -7,8 +7,8 @@
 
 	"github.com/pkg/errors"
 
+	"celeryreach.example/celeryreach/callersim"
 	"celeryreach.example/celeryreach/outcome"
-	"celeryreach.example/celeryreach/sample"
 )
 
 // printSummary prints the number of requests by outcome. Every sent request
@@ -24,7 +24,7 @@
 		case k == outcome.Left:
 			left += v
 			continue
-		case strings.HasPrefix(k, sample.NotRunPrefix):
+		case strings.HasPrefix(k, callersim.NotRunPrefix):
 			notRun += v
 		default:
 			unknown += v
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -11,17 +11,17 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"celeryreach.example/celeryreach/budget"
 	"celeryreach.example/celeryreach/credential"
 	"celeryreach.example/celeryreach/deadline"
 	"celeryreach.example/celeryreach/hedge"
 	"celeryreach.example/celeryreach/outcome"
 	"celeryreach.example/celeryreach/queue"
 	"celeryreach.example/celeryreach/request"
+	"celeryreach.example/celeryreach/responsecopier"
 	"celeryreach.example/celeryreach/result"
+	"celeryreach.example/celeryreach/retrybudget"
 	"celeryreach.example/celeryreach/slot"
 	"celeryreach.example/celeryreach/upstream"
-	"celeryreach.example/celeryreach/whole"
 )
 
 // maxAttempts limits the attempts of one request, however large the retry budget is.
@@ -57,11 +57,11 @@
 	// Timeout returns the longest wait for a slot.
 	Timeout func() time.Duration
 	// Budget limits second attempts.
-	Budget *budget.Budget
+	Budget *retrybudget.Retrybudget
 	// Hedge determines when a response is late.
 	Hedge *hedge.Hedge
 	// Whole copies responses to callers.
-	Whole *whole.Whole
+	Whole *responsecopier.Responsecopier
 	// Linger is how long the slot of a canceled request stays occupied: the backend
 	// server continues to work until it notices that the connection was closed.
 	CancelReleaseDelay time.Duration
@@ -210,9 +210,9 @@
 	switch {
 	case err == nil:
 		return outcome.Outcome{Outcome: outcome.Answered, Ran: outcome.RanYes}
-	case errors.Is(err, whole.ErrTruncated) && ctx.Err() != nil:
+	case errors.Is(err, responsecopier.ErrTruncated) && ctx.Err() != nil:
 		return contextOutcome(ctx, true)
-	case errors.Is(err, whole.ErrTruncated):
+	case errors.Is(err, responsecopier.ErrTruncated):
 		return incompleteOutcome(r, err)
 	default:
 		panic(http.ErrAbortHandler)
@@ -224,7 +224,7 @@
 	switch {
 	case err == nil:
 		s.Release(result.Succeeded)
-	case ctx.Err() != nil, errors.Is(err, whole.ErrCaller):
+	case ctx.Err() != nil, errors.Is(err, responsecopier.ErrCaller):
 		d.releaseCanceled(s, true)
 	default:
 		s.Release(result.Failed)
--- a/division/division.go
+++ b/division/division.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"celeryreach.example/celeryreach/holder"
-	"celeryreach.example/celeryreach/part"
+	"celeryreach.example/celeryreach/limitpart"
 	"celeryreach.example/celeryreach/span"
 )
 
@@ -35,7 +35,7 @@
 	// rate, and one host of each failure domain has the entire floor of that
 	// domain. Splitting a small burst further would leave holders with less than
 	// one token, which no request can use.
-	Parts map[string]map[string]part.Part
+	Parts map[string]map[string]limitpart.Limitpart
 	// FloorSpans are the floors of each failure domain, the same for every rate.
 	FloorSpans map[string][]span.Span
 	// LeasedSpans is the leased remainder of every rate.
@@ -59,17 +59,17 @@
 }
 
 // Part returns the part of a limit that h holds.
-func (d *Division) Part(limit string, h holder.Holder) part.Part {
+func (d *Division) Part(limit string, h holder.Holder) limitpart.Limitpart {
 	if !d.Includes(h) {
-		return part.Part{}
+		return limitpart.Limitpart{}
 	}
 	if p, ok := d.Parts[limit]; ok {
 		return p[h.Name]
 	}
 	if !strings.HasPrefix(limit, RatePrefix) {
-		return part.Part{}
+		return limitpart.Limitpart{}
 	}
-	var p part.Part
+	var p limitpart.Limitpart
 	if d.DefaultHolder(limit, h.Domain) == h.Name {
 		p.Floor = d.FloorSpans[h.Domain]
 	}
--- a/author/cut.go
+++ b/divisionwriter/cut.go
@@ -1,4 +1,4 @@
-package author
+package divisionwriter
 
 import (
 	"math"
@@ -7,8 +7,8 @@
 
 	"celeryreach.example/celeryreach/division"
 	"celeryreach.example/celeryreach/holder"
+	"celeryreach.example/celeryreach/limitpart"
 	"celeryreach.example/celeryreach/maxmin"
-	"celeryreach.example/celeryreach/part"
 	"celeryreach.example/celeryreach/span"
 )
 
@@ -50,19 +50,19 @@
 // parts returns the parts by holder name, and whether they differ enough from
 // the old ones to justify a new epoch by themselves. Without force, parts that
 // differ less stay as they are.
-func (c *limitDivider) parts(force bool) (map[string]part.Part, bool) {
+func (c *limitDivider) parts(force bool) (map[string]limitpart.Limitpart, bool) {
 	o := c.oldParts()
 	if _, ok := c.builder.old.Parts[c.limit]; ok && !force && !c.builder.followDemand {
 		return o, false
 	}
-	r := make(map[string]part.Part)
+	r := make(map[string]limitpart.Limitpart)
 	v := c.leasableSpans()
 	l := c.leasedLengths(span.Length(v))
 	m := 0.0
 	s := c.assignSpans(v, l, func(n string) []span.Span { return o[n].Leased })
 	for n, w := range s {
 		m += math.Abs(float64(span.Length(w)) - float64(span.Length(o[n].Leased)))
-		r[n] = part.Part{Leased: w}
+		r[n] = limitpart.Limitpart{Leased: w}
 	}
 	m /= 2 * span.FullLength
 	if !force && m < minMovedFraction {
@@ -74,11 +74,11 @@
 
 // oldParts returns the parts of the old epoch, also for a limit that it does
 // not list.
-func (c *limitDivider) oldParts() map[string]part.Part {
+func (c *limitDivider) oldParts() map[string]limitpart.Limitpart {
 	if p, ok := c.builder.old.Parts[c.limit]; ok {
 		return p
 	}
-	r := make(map[string]part.Part)
+	r := make(map[string]limitpart.Limitpart)
 	for _, s := range [][]holder.Holder{c.builder.old.Holders, c.builder.old.Silent} {
 		for _, h := range s {
 			r[h.Name] = c.builder.old.Part(c.limit, h)
@@ -88,7 +88,7 @@
 }
 
 // addFloors adds to each holder its part of the floor of its failure domain.
-func (c *limitDivider) addFloors(r, o map[string]part.Part) {
+func (c *limitDivider) addFloors(r, o map[string]limitpart.Limitpart) {
 	for _, d := range c.domainsWithFloor(c.next.Floors) {
 		var m []holder.Holder
 		for _, s := range [][]holder.Holder{c.next.Holders, c.next.Silent} {
--- a/author/author.go
+++ b/divisionwriter/divisionwriter.go
@@ -1,6 +1,6 @@
 // Package author writes divisions: it adds and removes holders and adjusts
 // leased parts to demand.
-package author
+package divisionwriter
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"celeryreach.example/celeryreach/commit"
 	"celeryreach.example/celeryreach/config"
 	"celeryreach.example/celeryreach/division"
+	"celeryreach.example/celeryreach/entitlement"
 	"celeryreach.example/celeryreach/holder"
-	"celeryreach.example/celeryreach/holding"
 	"celeryreach.example/celeryreach/row"
 	"celeryreach.example/celeryreach/store"
 )
@@ -49,7 +49,7 @@
 // sorts first writes the next epoch; the others write it only if that host does
 // not. Two hosts that write at the same time cause a commit conflict, but never
 // an unsafe division.
-type Author struct {
+type Divisionwriter struct {
 	// Clock schedules the reads.
 	Clock clockwork.Clock
 	// Log receives one line for each epoch that this host writes.
@@ -57,7 +57,7 @@
 	// Platform is the store that holds the row.
 	Platform store.Store
 	// Holding receives the divisions that are read.
-	Holding *holding.Holding
+	Holding *entitlement.Entitlement
 	// Alive returns the processes from which this host or one of its peers
 	// recently received a heartbeat, this process included. Processes that shut
 	// down are left out.
@@ -87,7 +87,7 @@
 }
 
 // Run reads and writes until ctx ends.
-func (a *Author) Run(ctx context.Context) error {
+func (a *Divisionwriter) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		a.Step(ctx)
 		select {
@@ -100,7 +100,7 @@
 
 // readInterval is shorter while this host has no division, since its callers
 // wait for one.
-func (a *Author) readInterval() time.Duration {
+func (a *Divisionwriter) readInterval() time.Duration {
 	if a.Holding.Epoch() == 0 {
 		return a.Every / startupReadFactor
 	}
@@ -108,7 +108,7 @@
 }
 
 // Step reads the row once and writes the next epoch if one is due.
-func (a *Author) Step(ctx context.Context) {
+func (a *Divisionwriter) Step(ctx context.Context) {
 	t := a.Clock.Now()
 	if !a.shouldRead(t) {
 		return
@@ -147,13 +147,13 @@
 // first hosts always do, so that one of them can write. The others learn of
 // epochs from heartbeats and read only when those do not suffice, since the
 // table serves all hosts.
-func (a *Author) shouldRead(now time.Time) bool {
+func (a *Divisionwriter) shouldRead(now time.Time) bool {
 	return a.rank(a.Alive()) < activeReaders || a.Holding.NeedsTable() || now.Sub(a.lastReadAt) >= passiveReadSteps*a.Every
 }
 
 // nextDue returns the epoch to write after d, if this host should write one
 // now.
-func (a *Author) nextDue(d division.Division) (division.Division, bool) {
+func (a *Divisionwriter) nextDue(d division.Division) (division.Division, bool) {
 	n := a.Clock.Now()
 	if d.Epoch != a.epoch {
 		a.epoch = d.Epoch
@@ -215,7 +215,7 @@
 // while the platform still lists some of the others. Otherwise two sides of a
 // network partition that both reach the table would drop each other again and
 // again.
-func (a *Author) inMinority(d division.Division, alive []holder.Holder, now time.Time) bool {
+func (a *Divisionwriter) inMinority(d division.Division, alive []holder.Holder, now time.Time) bool {
 	m := make(map[holder.Holder]bool, len(alive))
 	for _, h := range alive {
 		m[h] = true
@@ -232,13 +232,13 @@
 }
 
 // rank is the position of this host among the alive hosts sorted by name.
-func (a *Author) rank(l []holder.Holder) int {
+func (a *Divisionwriter) rank(l []holder.Holder) int {
 	return sort.Search(len(l), func(i int) bool { return l[i].Name >= a.Holding.Self.Name })
 }
 
 // floorsReleased reports whether a failure domain has stopped using its floors
 // of epochs before e.
-func (a *Author) floorsReleased(domain string, e uint64, members []holder.Holder) bool {
+func (a *Divisionwriter) floorsReleased(domain string, e uint64, members []holder.Holder) bool {
 	m := make(map[string]bool)
 	for _, h := range members {
 		if h.Domain == domain {
@@ -250,7 +250,7 @@
 }
 
 // writeEpoch commits d as the successor of row r.
-func (a *Author) writeEpoch(ctx context.Context, r row.Row, d division.Division) {
+func (a *Divisionwriter) writeEpoch(ctx context.Context, r row.Row, d division.Division) {
 	b, err := codec.Marshal(d)
 	if err != nil {
 		a.Log.Error("cannot encode division row", "Error", err)
--- a/author/plan.go
+++ b/divisionwriter/plan.go
@@ -1,4 +1,4 @@
-package author
+package divisionwriter
 
 import (
 	"sort"
@@ -6,7 +6,7 @@
 	"celeryreach.example/celeryreach/config"
 	"celeryreach.example/celeryreach/division"
 	"celeryreach.example/celeryreach/holder"
-	"celeryreach.example/celeryreach/part"
+	"celeryreach.example/celeryreach/limitpart"
 	"celeryreach.example/celeryreach/span"
 )
 
@@ -36,7 +36,7 @@
 	for _, d := range n.Floors {
 		n.FloorSpans[d] = c.domainFloor(d)
 	}
-	n.Parts = make(map[string]map[string]part.Part)
+	n.Parts = make(map[string]map[string]limitpart.Limitpart)
 	for _, l := range p.listedLimits() {
 		c := &limitDivider{builder: p, next: &n, limit: l}
 		a, m := c.parts(u)
--- a/author/written_test.go
+++ b/divisionwriter/written_test.go
@@ -1,4 +1,4 @@
-package author
+package divisionwriter
 
 import (
 	"testing"
--- a/repeat/repeat.go
+++ b/duplicate/duplicate.go
@@ -1,6 +1,6 @@
 // Package repeat determines the outcome of a request whose id already has a
 // record.
-package repeat
+package duplicate
 
 import (
 	"time"
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -15,27 +15,27 @@
 	"celeryreach.example/celeryreach/backend"
 	"celeryreach.example/celeryreach/backendlimit"
 	"celeryreach.example/celeryreach/borrower"
-	"celeryreach.example/celeryreach/budget"
 	"celeryreach.example/celeryreach/child"
-	"celeryreach.example/celeryreach/coldpace"
+	"celeryreach.example/celeryreach/coldrate"
 	"celeryreach.example/celeryreach/config"
-	"celeryreach.example/celeryreach/copier"
 	"celeryreach.example/celeryreach/counter"
 	"celeryreach.example/celeryreach/discovery"
 	"celeryreach.example/celeryreach/dispatch"
 	"celeryreach.example/celeryreach/gateway"
-	"celeryreach.example/celeryreach/ingressbook"
+	"celeryreach.example/celeryreach/heartbeatpeers"
 	"celeryreach.example/celeryreach/latency"
 	"celeryreach.example/celeryreach/member"
 	"celeryreach.example/celeryreach/membership"
 	"celeryreach.example/celeryreach/mirror"
-	"celeryreach.example/celeryreach/partners"
+	"celeryreach.example/celeryreach/mirrorsync"
 	"celeryreach.example/celeryreach/peerclient"
 	"celeryreach.example/celeryreach/peerserver"
 	"celeryreach.example/celeryreach/permits"
 	"celeryreach.example/celeryreach/placement"
+	"celeryreach.example/celeryreach/retrybudget"
+	"celeryreach.example/celeryreach/routeindex"
 	"celeryreach.example/celeryreach/row"
-	"celeryreach.example/celeryreach/silence"
+	"celeryreach.example/celeryreach/storesilence"
 	"celeryreach.example/celeryreach/supervisor"
 	"celeryreach.example/celeryreach/tokens"
 	"celeryreach.example/celeryreach/upstream"
@@ -111,7 +111,7 @@
 	// try, plus RetrySlack at any time.
 	RetryRatio, RetrySlack float64
 
-	book         atomic.Pointer[ingressbook.Ingressbook]
+	book         atomic.Pointer[routeindex.Routeindex]
 	leaving      atomic.Bool
 	leaveStarted chan struct{} // closed by Leave
 	hostsKnown   atomic.Bool
@@ -121,11 +121,11 @@
 	placement    *placement.Placement
 	limits       *backendlimit.Backendlimit
 	permits      *permits.Permits
-	silence      *silence.Silence
+	silence      *storesilence.Storesilence
 	permitClient *peerclient.Peerclient // separate connections for permits, so that permits do not delay heartbeats
 	discovery    *discovery.Discovery
 	borrower     *borrower.Borrower
-	copier       *copier.Copier
+	copier       *mirrorsync.Mirrorsync
 }
 
 // Run runs the host until ctx ends. The children in serving accept requests from
@@ -176,7 +176,7 @@
 }
 
 // Book returns the configuration in force, nil before the first one.
-func (e *Edge) Index() *ingressbook.Ingressbook {
+func (e *Edge) Index() *routeindex.Routeindex {
 	return e.book.Load()
 }
 
@@ -188,7 +188,7 @@
 	}
 	e.membership = &membership.Membership{
 		Clock: e.Clock, Log: e.Log, Self: e.self, Seeds: e.Seeds, ListHosts: e.cachedHostList(),
-		Partners: partners.Select, Interval: heartbeatInterval, Hold: peerTimeout, SendHeartbeat: e.client.Beat, FillHeartbeat: e.composeHeartbeat, OnHeartbeat: e.receiveHeartbeat,
+		Partners: heartbeatpeers.Select, Interval: heartbeatInterval, Hold: peerTimeout, SendHeartbeat: e.client.Beat, FillHeartbeat: e.composeHeartbeat, OnHeartbeat: e.receiveHeartbeat,
 	}
 	e.borrower = borrower.New()
 	e.borrower.Clock, e.borrower.Self, e.borrower.Hosts = e.Clock, e.self, e.membership.Alive
@@ -199,12 +199,12 @@
 	e.setUpPermits()
 	e.placement = &placement.Placement{
 		Clock: e.Clock, Log: e.Log, Region: e.Self.Region, RemoteWeight: remoteWeight, ColdCapacity: e.coldRate, Limit: e.limits,
-		ColdRate: &coldpace.Coldpace{Self: e.Self.Name, Hosts: e.membership.Known, Overage: e.ColdOverage, Slack: e.ColdSlack},
+		ColdRate: &coldrate.Coldrate{Self: e.Self.Name, Hosts: e.membership.Known, Overage: e.ColdOverage, Slack: e.ColdSlack},
 	}
 	e.discovery = &discovery.Discovery{
 		Clock: e.Clock, Log: e.Log, WarmUp: e.warmUp, Changed: e.placement.Set,
 	}
-	e.copier = copier.New()
+	e.copier = mirrorsync.New()
 	e.copier.Clock, e.copier.Log, e.copier.Fetch = e.Clock, e.Log, e.client.Fetch
 	e.copier.Mirrors = []*mirror.Mirror{e.Config, e.Backends}
 	e.watchStore()
@@ -225,7 +225,7 @@
 	return &dispatch.Dispatch{
 		Clock: e.Clock, AcquireSlot: e.Gateway.AcquireSlot, ReuseForNonIdempotent: true, Valid: e.Gateway.Valid, Confirm: tokenAlwaysValid,
 		Upstream: e.Upstream, Hedge: newHedge(), Whole: newResponseRelay(e.Clock),
-		Budget: &budget.Budget{Ratio: func() float64 { return e.RetryRatio * retryBudgetFraction }, Limit: e.retryLimit},
+		Budget: &retrybudget.Retrybudget{Ratio: func() float64 { return e.RetryRatio * retryBudgetFraction }, Limit: e.retryLimit},
 	}
 }
 
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -11,7 +11,7 @@
 	"celeryreach.example/celeryreach/hedge"
 	"celeryreach.example/celeryreach/member"
 	"celeryreach.example/celeryreach/request"
-	"celeryreach.example/celeryreach/whole"
+	"celeryreach.example/celeryreach/responsecopier"
 )
 
 const (
@@ -104,6 +104,6 @@
 	return &hedge.Hedge{Initial: hedgeInitial, Min: hedgeMin, Max: hedgeMax}
 }
 
-func newResponseRelay(c clockwork.Clock) *whole.Whole {
-	return &whole.Whole{Clock: c, BufferLimit: responseBufferBytes, WriteTimeout: callerReadTimeout, AllowUndelimited: true}
+func newResponseRelay(c clockwork.Clock) *responsecopier.Responsecopier {
+	return &responsecopier.Responsecopier{Clock: c, BufferLimit: responseBufferBytes, WriteTimeout: callerReadTimeout, AllowUndelimited: true}
 }
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -20,11 +20,11 @@
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/config"
 	"celeryreach.example/celeryreach/ingress"
-	"celeryreach.example/celeryreach/portion"
 	"celeryreach.example/celeryreach/request"
 	"celeryreach.example/celeryreach/row"
 	"celeryreach.example/celeryreach/service"
 	"celeryreach.example/celeryreach/upstream"
+	"celeryreach.example/celeryreach/weightedservice"
 )
 
 const (
@@ -40,7 +40,7 @@
 // routes are the routes of every configuration in these tests.
 var routes = []ingress.Ingress{{
 	Name: "view", Host: callerHost, Prefix: listingPath, Timeout: requestTimeout, Objective: 400 * time.Millisecond, Priority: 2,
-	Portions: []portion.Portion{{Service: listings, Weight: 1}}, Attempts: 2, Public: true, Sticky: true,
+	Portions: []weightedservice.Weightedservice{{Service: listings, Weight: 1}}, Attempts: 2, Public: true, Sticky: true,
 }}
 
 var services = []service.Service{{Name: listings, ColdRate: coldRate, WarmUp: warmUp}}
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -9,9 +9,9 @@
 
 	"github.com/pkg/errors"
 
-	"celeryreach.example/celeryreach/ingressbook"
 	"celeryreach.example/celeryreach/member"
 	"celeryreach.example/celeryreach/metric"
+	"celeryreach.example/celeryreach/routeindex"
 	"celeryreach.example/celeryreach/row"
 	"celeryreach.example/celeryreach/wire"
 )
@@ -54,7 +54,7 @@
 	c, z := e.Decode(m)
 	if c != nil {
 		if b := e.book.Load(); b == nil || c.Version > b.Config.Version {
-			e.book.Store(ingressbook.New(c, b, e.Clock.Now()))
+			e.book.Store(routeindex.New(c, b, e.Clock.Now()))
 			metric.Metric{Name: gaugeConfigVersion}.Set(float64(c.Version))
 			e.tokens.Set(c.Accounts)
 			e.Log.Info("configuration in force", "Version", c.Version, "Routes", len(c.Routes), "Accounts", len(c.Accounts))
--- a/edge/permits.go
+++ b/edge/permits.go
@@ -7,7 +7,7 @@
 	"celeryreach.example/celeryreach/backend"
 	"celeryreach.example/celeryreach/peerclient"
 	"celeryreach.example/celeryreach/permits"
-	"celeryreach.example/celeryreach/silence"
+	"celeryreach.example/celeryreach/storesilence"
 )
 
 const (
@@ -28,7 +28,7 @@
 // evacuation must be in force, and the store may have stopped responding just before
 // the evacuation was written.
 func (e *Edge) setUpPermits() {
-	e.silence = &silence.Silence{
+	e.silence = &storesilence.Storesilence{
 		Clock: e.Clock, Log: e.Log, Age: func() (time.Duration, bool) { return storeAge(e.Config) },
 		MaxAge: max(e.EvacuationTime-coldRateLead, e.RecoveryTime-recheckMargin+urgentHeartbeatDelay), LongSilence: e.EvacuationTime, Settle: coldEntryDelay,
 		EntriesAge: func() (time.Duration, bool) { return storeAge(e.Backends) }, EntriesDelay: urgentHeartbeatDelay,
--- a/holding/holding.go
+++ b/entitlement/entitlement.go
@@ -1,6 +1,6 @@
 // Package holding decides which part of each limit this host may use at the
 // moment. The rule and its proof are in docs/decisions/0001-limits.md.
-package holding
+package entitlement
 
 import (
 	"context"
@@ -29,7 +29,7 @@
 
 // Holding tracks the divisions and the epochs in the heartbeats of other hosts,
 // and derives from them what this host may use.
-type Holding struct {
+type Entitlement struct {
 	// Clock is the monotonic clock of the host.
 	Clock clockwork.Clock
 	// Self is this process.
@@ -83,7 +83,7 @@
 }
 
 // Run calls Tick at every interval until ctx ends.
-func (h *Holding) Run(ctx context.Context) error {
+func (h *Entitlement) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		h.Tick()
 		select {
@@ -97,7 +97,7 @@
 // Tick records that the process is running. A gap between two ticks means that
 // the process was paused and missed what the hosts of its failure domain did in
 // the meantime.
-func (h *Holding) Tick() {
+func (h *Entitlement) Tick() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
@@ -111,7 +111,7 @@
 
 // Learn takes a division. Read is the time just before the table read that
 // returned it, or zero if it came from a peer.
-func (h *Holding) ApplyDivision(d division.Division, read time.Time) {
+func (h *Entitlement) ApplyDivision(d division.Division, read time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
@@ -131,7 +131,7 @@
 
 // Heard takes the epoch that a peer reports. Sent is when this host sent the
 // heartbeat that the peer answered, or zero if the peer started the exchange.
-func (h *Holding) RecordPeerEpoch(name string, incarnation, epoch uint64, sent time.Time) {
+func (h *Entitlement) RecordPeerEpoch(name string, incarnation, epoch uint64, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
@@ -153,7 +153,7 @@
 }
 
 // Epoch returns the epoch that this host is on.
-func (h *Holding) Epoch() uint64 {
+func (h *Entitlement) Epoch() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.epoch()
@@ -162,7 +162,7 @@
 // Report returns the epoch to send in a heartbeat. By sending it, this host
 // promises that it no longer uses anything that the epoch took away from it,
 // and that it no longer confirms any earlier epoch.
-func (h *Holding) ReportEpoch() uint64 {
+func (h *Entitlement) ReportEpoch() uint64 {
 	b := h.Busy != nil && h.Busy()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -175,7 +175,7 @@
 }
 
 // Wanted returns the highest epoch known from the table or from any peer.
-func (h *Holding) HighestKnownEpoch() uint64 {
+func (h *Entitlement) HighestKnownEpoch() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.knownEpochs.last()
@@ -183,7 +183,7 @@
 
 // Current returns the division of this host's epoch together with the earlier
 // ones that some host may still use. It returns false if there is none yet.
-func (h *Holding) Current() (division.Division, bool) {
+func (h *Entitlement) Current() (division.Division, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.divisions) == 0 {
@@ -201,7 +201,7 @@
 // Moved reports whether some process of a failure domain, whose hosts are given
 // by of, has been on epoch or a later one for Hold. By then every running
 // process of the domain has stopped using the floors of earlier epochs.
-func (h *Holding) DomainReachedEpoch(epoch uint64, of func(name string) bool) bool {
+func (h *Entitlement) DomainReachedEpoch(epoch uint64, of func(name string) bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
@@ -218,7 +218,7 @@
 
 // Steady reports whether the process has run without a gap for Hold. If so, a
 // process from which nothing has been received by now is silent.
-func (h *Holding) RanWithoutGap() bool {
+func (h *Entitlement) RanWithoutGap() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ranWithoutGap(h.Clock.Now())
@@ -227,7 +227,7 @@
 // NeedsTable reports whether this host should read the table soon: it has no
 // division or an outdated one, it was paused, or too few other holders confirm
 // its division.
-func (h *Holding) NeedsTable() bool {
+func (h *Entitlement) NeedsTable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
@@ -239,7 +239,7 @@
 }
 
 // Grant returns what this host may use of a limit.
-func (h *Holding) Grant(limit string) grant.Grant {
+func (h *Entitlement) Grant(limit string) grant.Grant {
 	v := h.view.Load()
 	if v == nil {
 		return grant.Grant{Unassigned: true}
@@ -248,7 +248,7 @@
 }
 
 // Rate returns what this host may use of the rate and burst of an account.
-func (h *Holding) Rate(account string) grant.Grant {
+func (h *Entitlement) Rate(account string) grant.Grant {
 	v := h.view.Load()
 	if v == nil {
 		return grant.Grant{Unassigned: true}
@@ -258,14 +258,14 @@
 
 // Part returns the fraction of a limit that this host may use at the moment, in
 // 0..1.
-func (h *Holding) Fraction(limit string) float64 {
+func (h *Entitlement) Fraction(limit string) float64 {
 	return h.Grant(limit).Fraction(h.Clock.Now())
 }
 
 // Slots returns which of the total slots of a limit this host may use at the
 // moment. The limit is split into total pieces of equal length, and slot k
 // belongs to the holder of the middle of piece k.
-func (h *Holding) Slots(limit string, total int) []int {
+func (h *Entitlement) Slots(limit string, total int) []int {
 	v := h.view.Load()
 	if v == nil {
 		return nil
@@ -286,13 +286,13 @@
 // Valid reports whether this host may use anything at the moment. It is checked
 // again right before a request is forwarded, since the process may have been
 // paused after it took a token or a slot.
-func (h *Holding) Valid() bool {
+func (h *Entitlement) Valid() bool {
 	v := h.view.Load()
 	n := h.Clock.Now()
 	return v != nil && (n.Before(v.floorUntil) || n.Before(v.leasedUntil))
 }
 
-func (h *Holding) epoch() uint64 {
+func (h *Entitlement) epoch() uint64 {
 	if len(h.divisions) == 0 {
 		return 0
 	}
@@ -300,12 +300,12 @@
 }
 
 // shortenForDrift shortens a wait that is measured by the user of a part.
-func (h *Holding) shortenForDrift(d time.Duration) time.Duration {
+func (h *Entitlement) shortenForDrift(d time.Duration) time.Duration {
 	return d - d/driftDivisor
 }
 
 // extendForDrift lengthens a wait that is measured by a process that wants to
 // take over a part.
-func (h *Holding) extendForDrift(d time.Duration) time.Duration {
+func (h *Entitlement) extendForDrift(d time.Duration) time.Duration {
 	return d + d/driftDivisor
 }
--- a/holding/holding_test.go
+++ b/entitlement/entitlement_test.go
@@ -1,4 +1,4 @@
-package holding_test
+package entitlement_test
 
 import (
 	"testing"
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 
 	"celeryreach.example/celeryreach/division"
+	"celeryreach.example/celeryreach/entitlement"
 	"celeryreach.example/celeryreach/holder"
-	"celeryreach.example/celeryreach/holding"
-	"celeryreach.example/celeryreach/part"
+	"celeryreach.example/celeryreach/limitpart"
 	"celeryreach.example/celeryreach/span"
 )
 
@@ -29,7 +29,7 @@
 		c := clockwork.NewFakeClock()
 		s := holder.Holder{Name: "a", Domain: "d"}
 		busy := false
-		h := &holding.Holding{Clock: c, Self: s, Hold: hold, StoreHold: time.Hour, Busy: func() bool { return busy }}
+		h := &entitlement.Entitlement{Clock: c, Self: s, Hold: hold, StoreHold: time.Hour, Busy: func() bool { return busy }}
 		h.Tick()
 		h.ApplyDivision(divide(1, s, span.FullLength), c.Now())
 		must.Eq(t, 1, h.ReportEpoch())
@@ -52,6 +52,6 @@
 func divide(epoch uint64, h holder.Holder, length uint32) division.Division {
 	return division.Division{
 		Epoch: epoch, Holders: []holder.Holder{h},
-		Parts: map[string]map[string]part.Part{limit: {h.Name: {Leased: []span.Span{{To: length}}}}},
+		Parts: map[string]map[string]limitpart.Limitpart{limit: {h.Name: {Leased: []span.Span{{To: length}}}}},
 	}
 }
--- a/holding/history.go
+++ b/entitlement/history.go
@@ -1,4 +1,4 @@
-package holding
+package entitlement
 
 import "time"
 
--- a/holding/settle.go
+++ b/entitlement/settle.go
@@ -1,4 +1,4 @@
-package holding
+package entitlement
 
 import (
 	"time"
@@ -8,7 +8,7 @@
 )
 
 // advanceTo moves this host to the epoch of d.
-func (h *Holding) advanceTo(d division.Division, now time.Time) {
+func (h *Entitlement) advanceTo(d division.Division, now time.Time) {
 	o := h.divisions
 	h.divisions = nil
 	for _, v := range o {
@@ -36,7 +36,7 @@
 
 // updateMinEpochs raises minLeasedEpoch and minFloorEpoch to the newest epochs
 // that every user must have reached, and drops older divisions.
-func (h *Holding) updateMinEpochs(now time.Time) {
+func (h *Entitlement) updateMinEpochs(now time.Time) {
 	for i := len(h.divisions) - 1; i >= 0 && h.divisions[i].Epoch > h.minLeasedEpoch; i-- {
 		if h.leasedUseEnded(i, now) {
 			h.minLeasedEpoch = h.divisions[i].Epoch
@@ -58,7 +58,7 @@
 
 // leasedUseEnded reports whether all use of leased parts of the epochs before
 // divisions[i] has ended.
-func (h *Holding) leasedUseEnded(i int, now time.Time) bool {
+func (h *Entitlement) leasedUseEnded(i int, now time.Time) bool {
 	k := h.divisions[i].Epoch
 	w := h.knownEpochs.timeSince(k, now)
 	if w >= h.extendForDrift(h.StoreHold) {
@@ -83,7 +83,7 @@
 
 // allHoldersReached reports whether every holder of d has reported epoch k or a
 // later one.
-func (h *Holding) allHoldersReached(d *division.Division, k uint64) bool {
+func (h *Entitlement) allHoldersReached(d *division.Division, k uint64) bool {
 	for _, v := range d.Holders {
 		if v != h.Self && h.historyOf(v).last() < k {
 			return false
@@ -94,7 +94,7 @@
 
 // countHoldersPastHold counts the holders of d that have been on epoch k or a
 // later one for Hold.
-func (h *Holding) countHoldersPastHold(d *division.Division, k uint64, now time.Time) int {
+func (h *Entitlement) countHoldersPastHold(d *division.Division, k uint64, now time.Time) int {
 	n := 0
 	for _, v := range d.Holders {
 		s := h.historyOf(v)
@@ -115,7 +115,7 @@
 // this process has been on the epoch for Hold and has run without a gap for
 // Hold, every running process of the domain knows the epoch, and a process that
 // was paused uses nothing until it has run for Hold.
-func (h *Holding) floorUseEnded(i int, now time.Time) bool {
+func (h *Entitlement) floorUseEnded(i int, now time.Time) bool {
 	k := h.divisions[i].Epoch
 	if h.reportedEpochs.timeSince(k, now) >= h.extendForDrift(h.Hold) && h.ranWithoutGap(now) {
 		return true
@@ -133,7 +133,7 @@
 
 // domainPeersReached reports whether all other processes of this host's failure
 // domain in s have reported epoch k or a later one.
-func (h *Holding) domainPeersReached(s []holder.Holder, k uint64) bool {
+func (h *Entitlement) domainPeersReached(s []holder.Holder, k uint64) bool {
 	for _, v := range s {
 		if v.Domain == h.Self.Domain && v != h.Self && h.historyOf(v).last() < k {
 			return false
@@ -143,13 +143,13 @@
 }
 
 // ranWithoutGap reports whether the process has run without a gap for Hold.
-func (h *Holding) ranWithoutGap(now time.Time) bool {
+func (h *Entitlement) ranWithoutGap(now time.Time) bool {
 	return !h.lastTick.IsZero() && now.Sub(h.lastTick) < h.Hold/livenessDivisor && now.Sub(h.runningSince) >= h.extendForDrift(h.Hold)
 }
 
 // historyOf returns the epochs reported by a process. It is empty if nothing
 // has been received from that incarnation.
-func (h *Holding) historyOf(v holder.Holder) history {
+func (h *Entitlement) historyOf(v holder.Holder) history {
 	p := h.peers[v.Name]
 	if p == nil || p.incarnation != v.Incarnation {
 		return nil
--- a/holding/view.go
+++ b/entitlement/view.go
@@ -1,4 +1,4 @@
-package holding
+package entitlement
 
 import (
 	"sort"
@@ -82,7 +82,7 @@
 
 // publish makes what this host may use at the moment visible to the request
 // path.
-func (h *Holding) publish(now time.Time) {
+func (h *Entitlement) publish(now time.Time) {
 	if len(h.divisions) == 0 {
 		return
 	}
@@ -134,7 +134,7 @@
 
 // leasedUntil returns when the leased parts of the current epoch end, unless
 // enough holders or another table read confirm the epoch before.
-func (h *Holding) leasedUntil(now time.Time) time.Time {
+func (h *Entitlement) leasedUntil(now time.Time) time.Time {
 	d := h.divisions[len(h.divisions)-1]
 	if !d.HoldsLease(h.Self) || h.tableReadAt.IsZero() {
 		return time.Time{}
@@ -155,7 +155,7 @@
 
 // quorumConfirmedAt returns the latest time at which enough holders of d had
 // confirmed it, zero if too few ever did.
-func (h *Holding) quorumConfirmedAt(d *division.Division, now time.Time) time.Time {
+func (h *Entitlement) quorumConfirmedAt(d *division.Division, now time.Time) time.Time {
 	var s []time.Time
 	for _, v := range d.Holders {
 		if v == h.Self {
@@ -173,7 +173,7 @@
 
 // floorUntil returns when the floor stops being usable, unless the process
 // ticks again before.
-func (h *Holding) floorUntil(now time.Time) time.Time {
+func (h *Entitlement) floorUntil(now time.Time) time.Time {
 	e := h.epoch()
 	if h.minFloorEpoch == 0 || !h.divisions[len(h.divisions)-1].Includes(h.Self) {
 		return time.Time{}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -14,12 +14,12 @@
 	"github.com/charmbracelet/log"
 	"github.com/jonboulle/clockwork"
 
-	"celeryreach.example/celeryreach/admission"
+	"celeryreach.example/celeryreach/authenticator"
 	"celeryreach.example/celeryreach/deadline"
-	"celeryreach.example/celeryreach/hop"
+	"celeryreach.example/celeryreach/errorresponse"
+	"celeryreach.example/celeryreach/hopheader"
 	"celeryreach.example/celeryreach/outcome"
 	"celeryreach.example/celeryreach/quota"
-	"celeryreach.example/celeryreach/refusal"
 	"celeryreach.example/celeryreach/request"
 	"celeryreach.example/celeryreach/snapshot"
 )
@@ -45,7 +45,7 @@
 	// Snapshot returns the configuration in force, nil before the first one.
 	Snapshot func() *snapshot.Snapshot
 	// Admission identifies keys.
-	Admission *admission.Admission
+	Admission *authenticator.Authenticator
 	// Quota admits requests within the rate and burst of their account.
 	Quota *quota.Quota
 	// Once runs a request with an ID at most once, by calling run.
@@ -94,7 +94,7 @@
 		o.EntryHosts = e.EntryHosts(r.Credential.Account, r.Service.Name)
 	}
 	b.abandon()
-	refusal.Write(w, o)
+	errorresponse.Write(w, o)
 }
 
 // serveAndRecover runs a request and converts the panic of an aborted response
@@ -122,7 +122,7 @@
 	if !ok {
 		return r, refuse(outcome.KeyUnknown, "the key is missing, wrong or withdrawn")
 	}
-	if f := admission.Fault(h); f != "" {
+	if f := authenticator.Fault(h); f != "" {
 		return r, refuse(outcome.BadRequest, f)
 	}
 	r.Credential = c
@@ -214,8 +214,8 @@
 // backend servers.
 func backendHeader(h *http.Request) http.Header {
 	r := h.Header.Clone()
-	admission.Strip(r)
-	hop.Strip(r)
+	authenticator.Strip(r)
+	hopheader.Strip(r)
 	// Both fields concern only the connection between the caller and this host.
 	r.Del("Expect")
 	r.Del("Content-Length")
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -16,36 +16,36 @@
 	"github.com/rogpeppe/go-internal/testscript"
 
 	"celeryreach.example/celeryreach/account"
-	"celeryreach.example/celeryreach/admission"
+	"celeryreach.example/celeryreach/authenticator"
 	"celeryreach.example/celeryreach/backend"
-	"celeryreach.example/celeryreach/backendknobs"
+	"celeryreach.example/celeryreach/backendfaults"
 	"celeryreach.example/celeryreach/backendstandin"
-	"celeryreach.example/celeryreach/budget"
 	"celeryreach.example/celeryreach/codec"
+	"celeryreach.example/celeryreach/commitbatch"
 	"celeryreach.example/celeryreach/config"
 	"celeryreach.example/celeryreach/credential"
+	"celeryreach.example/celeryreach/dedup"
 	"celeryreach.example/celeryreach/dispatch"
 	"celeryreach.example/celeryreach/entry"
 	"celeryreach.example/celeryreach/grant"
-	"celeryreach.example/celeryreach/group"
 	"celeryreach.example/celeryreach/hedge"
 	"celeryreach.example/celeryreach/httplisten"
 	"celeryreach.example/celeryreach/idempotency"
-	"celeryreach.example/celeryreach/once"
+	"celeryreach.example/celeryreach/memorytable"
 	"celeryreach.example/celeryreach/outcome"
 	"celeryreach.example/celeryreach/preset"
 	"celeryreach.example/celeryreach/queue"
 	"celeryreach.example/celeryreach/quota"
 	"celeryreach.example/celeryreach/request"
+	"celeryreach.example/celeryreach/responsecopier"
 	"celeryreach.example/celeryreach/result"
+	"celeryreach.example/celeryreach/retrybudget"
 	"celeryreach.example/celeryreach/service"
 	"celeryreach.example/celeryreach/slot"
 	"celeryreach.example/celeryreach/snapshot"
 	"celeryreach.example/celeryreach/store"
-	"celeryreach.example/celeryreach/table"
-	"celeryreach.example/celeryreach/ticket"
+	"celeryreach.example/celeryreach/ticketstore"
 	"celeryreach.example/celeryreach/upstream"
-	"celeryreach.example/celeryreach/whole"
 )
 
 // testHost is one host with backend servers on loopback addresses. Slots are
@@ -56,13 +56,13 @@
 	servers   []backend.Backend
 	handlers  map[string]*backendstandin.Backendstandin
 	maxWait   time.Duration
-	store     table.Table
+	store     memorytable.Memorytable
 	stop      []func()
 	closed    atomic.Bool
 	done      chan string
 	queue     *queue.Queue
-	tickets   *ticket.Ticket
-	group     *group.Group
+	tickets   *ticketstore.Ticketstore
+	group     *commitbatch.Commitbatch
 	storeDown atomic.Bool
 
 	mu   sync.Mutex
@@ -98,12 +98,12 @@
 func (s *testHost) entry() *entry.Entry {
 	v := s.snapshot()
 	n := func() *snapshot.Snapshot { return v }
-	a := &admission.Admission{Snapshot: n}
+	a := &authenticator.Authenticator{Snapshot: n}
 	p := store.Store{
 		Read:   platformRead(&s.store, &s.storeDown),
 		Commit: platformCommit(&s.store, &s.storeDown),
 	}
-	s.group = &group.Group{Clock: s.clock, Commit: p.Commit, MaxRows: 64, Timeout: time.Second}
+	s.group = &commitbatch.Commitbatch{Clock: s.clock, Commit: p.Commit, MaxRows: 64, Timeout: time.Second}
 	i := &idempotency.Idempotency{
 		Clock: s.clock, Platform: p, Host: "a", Incarnation: 1, Timeout: time.Second, Group: s.group,
 		Alive: func(string, uint64) bool { return false },
@@ -114,16 +114,16 @@
 	d := &dispatch.Dispatch{
 		Clock: s.clock, Queue: func(string) *queue.Queue { return q }, Valid: a.Valid, Upstream: upstream.New(s.clock, time.Second),
 		Confirm: func(*request.Request) bool { return true },
-		Timeout: func() time.Duration { return v.Preset.MaxWait }, Budget: &budget.Budget{Ratio: func() float64 { return 1 }},
+		Timeout: func() time.Duration { return v.Preset.MaxWait }, Budget: &retrybudget.Retrybudget{Ratio: func() float64 { return 1 }},
 		Hedge: &hedge.Hedge{Initial: 50 * time.Millisecond, Min: 50 * time.Millisecond, Max: 50 * time.Millisecond},
-		Whole: &whole.Whole{Clock: s.clock, BufferLimit: 1000, WriteTimeout: 500 * time.Millisecond},
+		Whole: &responsecopier.Responsecopier{Clock: s.clock, BufferLimit: 1000, WriteTimeout: 500 * time.Millisecond},
 	}
 	s.stop = append(s.stop, d.Upstream.Close)
-	s.tickets = &ticket.Ticket{
+	s.tickets = &ticketstore.Ticketstore{
 		Clock: s.clock, Host: "a", Incarnation: 1, Lifetime: time.Hour, MaxAnswerBytes: 1 << 20, MaxUsed: 100_000,
 		HostAddress: func(h string, _ uint64) (string, bool) { return "10.0.0.2:80", h == "b" },
 	}
-	o := &once.Once{Begin: i.Begin, End: i.End, Tickets: s.tickets}
+	o := &dedup.Dedup{Begin: i.Begin, End: i.End, Tickets: s.tickets}
 	return &entry.Entry{
 		Clock: s.clock, Log: log.New(io.Discard), Snapshot: n, Admission: a, Once: o.Serve, Local: d.Serve,
 		Quota: &quota.Quota{Clock: s.clock, Account: v.Account, Hold: time.Hour, Grant: func(string) grant.Grant {
@@ -200,7 +200,7 @@
 
 func backendCommand(t *testscript.TestScript, _ bool, a []string) {
 	s := t.Value("site").(*testHost)
-	var k backendknobs.Backendknobs
+	var k backendfaults.Backendfaults
 	t.Check(codec.Unmarshal([]byte(a[1]), &k))
 	if h := s.handlers[a[0]]; h != nil {
 		h.SetFaults(k)
@@ -247,8 +247,8 @@
 		_, _ = io.WriteString(t.Stdout(), "broken answer\n")
 		return
 	}
-	if p.Header.Get(whole.NotRunHeader) != "" {
-		t.Fatalf("the caller sees %s", whole.NotRunHeader)
+	if p.Header.Get(responsecopier.NotRunHeader) != "" {
+		t.Fatalf("the caller sees %s", responsecopier.NotRunHeader)
 	}
 	var o outcome.Outcome
 	if err := codec.Unmarshal(b, &o); err == nil {
--- a/entry/platform_test.go
+++ b/entry/platform_test.go
@@ -10,13 +10,13 @@
 	"github.com/rogpeppe/go-internal/testscript"
 
 	"celeryreach.example/celeryreach/commit"
+	"celeryreach.example/celeryreach/memorytable"
 	"celeryreach.example/celeryreach/row"
-	"celeryreach.example/celeryreach/table"
 )
 
 var errStoreDown = errors.New("the store is out")
 
-func platformRead(t *table.Table, out *atomic.Bool) func(context.Context, string) (row.Row, error) {
+func platformRead(t *memorytable.Memorytable, out *atomic.Bool) func(context.Context, string) (row.Row, error) {
 	return func(_ context.Context, k string) (row.Row, error) {
 		if out.Load() {
 			return row.Row{}, errStoreDown
@@ -25,7 +25,7 @@
 	}
 }
 
-func platformCommit(t *table.Table, out *atomic.Bool) func(context.Context, commit.Commit) (bool, error) {
+func platformCommit(t *memorytable.Memorytable, out *atomic.Bool) func(context.Context, commit.Commit) (bool, error) {
 	return func(_ context.Context, c commit.Commit) (bool, error) {
 		if out.Load() {
 			return false, errStoreDown
--- a/refusal/refusal.go
+++ b/errorresponse/errorresponse.go
@@ -1,5 +1,5 @@
 // Package refusal writes outcomes to callers as HTTP responses.
-package refusal
+package errorresponse
 
 import (
 	"math"
--- a/expiry/expiry_test.go
+++ b/expiry/expiry_test.go
@@ -12,13 +12,13 @@
 
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/commit"
+	"celeryreach.example/celeryreach/memorytable"
 	"celeryreach.example/celeryreach/record"
 	"celeryreach.example/celeryreach/row"
 	"celeryreach.example/celeryreach/store"
-	"celeryreach.example/celeryreach/table"
 )
 
-func put(t *testing.T, s *table.Table, key string, at time.Time) {
+func put(t *testing.T, s *memorytable.Memorytable, key string, at time.Time) {
 	b, err := codec.Marshal(record.Record{Attempt: key, Started: at, State: record.Done})
 	must.NoError(t, err)
 	s.Commit(commit.Commit{Put: append(Index(key, at), row.Row{Key: key, Value: b})})
@@ -30,7 +30,7 @@
 // run twice.
 func TestRecordsExpire(t *testing.T) {
 	c := clockwork.NewFakeClock()
-	s := new(table.Table)
+	s := new(memorytable.Memorytable)
 	e := &Expiry{
 		Clock: c, Log: log.New(io.Discard), Retention: 24 * time.Hour,
 		Platform: store.Store{
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -14,13 +14,13 @@
 	"github.com/pkg/errors"
 
 	"celeryreach.example/celeryreach/backendstandin"
-	"celeryreach.example/celeryreach/change"
 	"celeryreach.example/celeryreach/config"
+	"celeryreach.example/celeryreach/configcommit"
 	"celeryreach.example/celeryreach/member"
 	"celeryreach.example/celeryreach/platformclient"
+	"celeryreach.example/celeryreach/platformstandin"
 	"celeryreach.example/celeryreach/reservation"
 	"celeryreach.example/celeryreach/settings"
-	"celeryreach.example/celeryreach/standin"
 )
 
 // PlatformPlace is the label of the platform in calls of Cut and Heal.
@@ -66,7 +66,7 @@
 	Roots *x509.CertPool
 
 	// Platform is the platform stand-in.
-	Platform *standin.Standin
+	Platform *platformstandin.Platformstandin
 	// PlatformURL is the base URL of the platform stand-in.
 	PlatformURL string
 	// Keys holds one key for each client account, by account name.
@@ -206,7 +206,7 @@
 
 // commitConfig writes the configuration to the platform as its first version.
 func (f *Fleet) commitConfig(ctx context.Context) error {
-	c := &change.Change{Platform: f.platform.Store()}
+	c := &configcommit.Configcommit{Platform: f.platform.Store()}
 	_, ok, err := c.Commit(ctx, 0, f.Config)
 	if err != nil {
 		return err
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/goleak"
 
 	"celeryreach.example/celeryreach/account"
-	"celeryreach.example/celeryreach/certs"
+	"celeryreach.example/celeryreach/certreloader"
 	"celeryreach.example/celeryreach/config"
 	"celeryreach.example/celeryreach/domain"
 	"celeryreach.example/celeryreach/fleet"
@@ -25,7 +25,7 @@
 	"celeryreach.example/celeryreach/service"
 	"celeryreach.example/celeryreach/settings"
 	"celeryreach.example/celeryreach/staleness"
-	"celeryreach.example/celeryreach/testcerts"
+	"celeryreach.example/celeryreach/testca"
 	"celeryreach.example/celeryreach/wire"
 )
 
@@ -99,7 +99,7 @@
 // plain text or with a certificate of another authority, gets no response and
 // is not added to the peers.
 func TestTLS(t *testing.T) {
-	a, err := testcerts.New()
+	a, err := testca.New()
 	must.NoError(t, err)
 	c, err := a.Write(t.TempDir())
 	must.NoError(t, err)
@@ -112,11 +112,11 @@
 		}
 	})
 	must.NoError(t, f.Await(ctx, "an answer", requestSucceeds(ctx, f, "n1-a")))
-	b, err := testcerts.New()
+	b, err := testca.New()
 	must.NoError(t, err)
 	d, err := b.Write(t.TempDir())
 	must.NoError(t, err)
-	forged := &certs.Certs{Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), Certificate: d}
+	forged := &certreloader.Certreloader{Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), Certificate: d}
 	must.NoError(t, forged.Load())
 	for _, dial := range []func(context.Context, string) (net.Conn, error){
 		func(ctx context.Context, address string) (net.Conn, error) {
--- a/fleet/parts.go
+++ b/fleet/parts.go
@@ -16,11 +16,11 @@
 	"celeryreach.example/celeryreach/credential"
 	"celeryreach.example/celeryreach/host"
 	"celeryreach.example/celeryreach/httplisten"
+	"celeryreach.example/celeryreach/memorytable"
 	"celeryreach.example/celeryreach/platformclient"
+	"celeryreach.example/celeryreach/platformstandin"
 	"celeryreach.example/celeryreach/reservation"
 	"celeryreach.example/celeryreach/settings"
-	"celeryreach.example/celeryreach/standin"
-	"celeryreach.example/celeryreach/table"
 )
 
 // task is a component that runs in its own goroutine, which closes done when
@@ -72,7 +72,7 @@
 		return errors.Wrap(err, "platform stand-in")
 	}
 	f.network.setLabels(l.Addr().String(), []string{PlatformLabel})
-	f.Platform = &standin.Standin{Clock: f.Clock, Table: new(table.Table)}
+	f.Platform = &platformstandin.Platformstandin{Clock: f.Clock, Table: new(memorytable.Memorytable)}
 	f.PlatformURL = "http://" + l.Addr().String()
 	f.platform = &platformclient.Platformclient{URL: f.PlatformURL, Timeout: platformTimeout}
 	f.serve(l, f.Platform)
--- a/fleetscript/faults.go
+++ b/fleetscript/faults.go
@@ -8,7 +8,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 
 	"celeryreach.example/celeryreach/codec"
-	"celeryreach.example/celeryreach/knobs"
+	"celeryreach.example/celeryreach/platformfaults"
 )
 
 func exactArgs(ts *testscript.TestScript, neg bool, args []string, n int) []string {
@@ -46,7 +46,7 @@
 }
 
 func setPlatformFaults(ts *testscript.TestScript, neg bool, args []string) {
-	var k knobs.Knobs
+	var k platformfaults.Platformfaults
 	ts.Check(codec.Unmarshal([]byte(exactArgs(ts, neg, args, 1)[0]), &k))
 	runningFleet(ts).Platform.SetFaults(k)
 }
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"celeryreach.example/celeryreach/hop"
+	"celeryreach.example/celeryreach/hopheader"
+	"celeryreach.example/celeryreach/keepalive"
 	"celeryreach.example/celeryreach/outcome"
-	"celeryreach.example/celeryreach/pulse"
 	"celeryreach.example/celeryreach/request"
 	"celeryreach.example/celeryreach/wire"
 )
@@ -43,7 +43,7 @@
 	transfer *transfer
 
 	stream     wire.DRPCPeer_ForwardClient
-	pulse      *pulse.Pulse
+	pulse      *keepalive.Keepalive
 	reused     bool
 	gotFrame   bool
 	silent     atomic.Bool
@@ -89,7 +89,7 @@
 // watch cancels the stream if the other end is silent for too long.
 func (a *attempt) watch(ctx context.Context) (end func(clean bool)) {
 	f := a.forward
-	a.pulse = &pulse.Pulse{
+	a.pulse = &keepalive.Keepalive{
 		Clock: f.Clock, Every: keepaliveInterval, First: maxSilence, Silence: maxSilence,
 		Send: func() error { return a.stream.Send(&wire.Frame{Part: &wire.Frame_Alive{Alive: true}}) },
 		Lost: func() {
@@ -234,7 +234,7 @@
 	for _, v := range a.head.Headers {
 		h[v.Name] = v.Values
 	}
-	hop.Strip(h)
+	hopheader.Strip(h)
 	a.transfer.writer.WriteHeader(int(a.head.Status))
 	if len(a.held) > 0 {
 		// A write fails if the caller has disconnected; the next write returns
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -13,21 +13,21 @@
 	"github.com/jonboulle/clockwork"
 
 	"celeryreach.example/celeryreach/account"
+	"celeryreach.example/celeryreach/attempted"
 	"celeryreach.example/celeryreach/backend"
 	"celeryreach.example/celeryreach/credential"
 	"celeryreach.example/celeryreach/deadline"
+	"celeryreach.example/celeryreach/decisionlog"
 	"celeryreach.example/celeryreach/ingress"
-	"celeryreach.example/celeryreach/ingressbook"
 	"celeryreach.example/celeryreach/latency"
 	"celeryreach.example/celeryreach/outcome"
 	"celeryreach.example/celeryreach/placement"
 	"celeryreach.example/celeryreach/request"
 	"celeryreach.example/celeryreach/result"
+	"celeryreach.example/celeryreach/routeindex"
 	"celeryreach.example/celeryreach/slot"
 	"celeryreach.example/celeryreach/split"
 	"celeryreach.example/celeryreach/tokens"
-	"celeryreach.example/celeryreach/trail"
-	"celeryreach.example/celeryreach/tried"
 )
 
 const (
@@ -55,7 +55,7 @@
 	// that were answered or whose caller left.
 	Log *log.Logger
 	// Book returns the configuration in force, or nil before the first one.
-	Index func() *ingressbook.Ingressbook
+	Index func() *routeindex.Routeindex
 	// StoreAge returns the time since the store last answered this host or another one
 	// from which it receives the configuration; ok is false if it never did.
 	StoreAge func() (d time.Duration, ok bool)
@@ -106,7 +106,7 @@
 
 // admit finds the route and the client account of r and takes a token from the
 // account's rate.
-func (g *Gateway) admit(ctx context.Context, b *ingressbook.Ingressbook, r *request.Request, path, key string) (*ingress.Ingress, outcome.Outcome) {
+func (g *Gateway) admit(ctx context.Context, b *routeindex.Routeindex, r *request.Request, path, key string) (*ingress.Ingress, outcome.Outcome) {
 	i := b.Route(r.Host, path)
 	if i == nil {
 		g.traceRefusal(b, r)
@@ -134,7 +134,7 @@
 }
 
 // refuseKey refuses a request whose key is missing or belongs to no client account.
-func (g *Gateway) refuseKey(b *ingressbook.Ingressbook, r *request.Request, key string) outcome.Outcome {
+func (g *Gateway) refuseKey(b *routeindex.Routeindex, r *request.Request, key string) outcome.Outcome {
 	if key == "" {
 		g.traceRefusal(b, r)
 		return refuse(outcome.KeyUnknown, "the request has no key", 0)
@@ -144,14 +144,14 @@
 }
 
 // traceRefusal adds the state of the configuration that refuses r to the trail of r.
-func (g *Gateway) traceRefusal(b *ingressbook.Ingressbook, r *request.Request, fields ...any) {
+func (g *Gateway) traceRefusal(b *routeindex.Routeindex, r *request.Request, fields ...any) {
 	n := g.Clock.Now()
 	var a any = "never"
 	if d, ok := g.StoreAge(); ok {
 		a = d
 	}
 	if r.Trail == nil {
-		r.Trail = new(trail.Trail)
+		r.Trail = new(decisionlog.Decisionlog)
 	}
 	r.Trail.Add(n, "request refused by the configuration",
 		append([]any{"Version", b.Config.Version, "ConfigAge", n.Sub(b.Since), "StoreAge", a}, fields...)...)
@@ -159,7 +159,7 @@
 
 // withdrawnFields returns the log fields that show whether a key was withdrawn, and in
 // which version of the configuration.
-func withdrawnFields(b *ingressbook.Ingressbook, hash string) []any {
+func withdrawnFields(b *routeindex.Routeindex, hash string) []any {
 	v, ok := b.Withdrawn(hash)
 	if !ok {
 		return []any{"Withdrawn", false}
@@ -168,7 +168,7 @@
 }
 
 // applyRoute sets the fields of r that the route and the client account determine.
-func (g *Gateway) applyRoute(b *ingressbook.Ingressbook, r *request.Request, i *ingress.Ingress, a *account.Account) {
+func (g *Gateway) applyRoute(b *routeindex.Routeindex, r *request.Request, i *ingress.Ingress, a *account.Account) {
 	n := g.Clock.Now()
 	if t := n.Add(i.Timeout); i.Timeout > 0 && t.Before(r.Deadline) {
 		r.Deadline = t
@@ -182,8 +182,8 @@
 	r.NonIdempotent = i.NonIdempotent
 	r.Attempts = i.Attempts
 	r.MaxWait = i.Objective / maxWaitDivisor
-	r.Tried = new(tried.Tried)
-	r.Trail = new(trail.Trail)
+	r.Tried = new(attempted.Attempted)
+	r.Trail = new(decisionlog.Decisionlog)
 	r.Priority = i.Priority
 	h := i.Homes
 	var o []string
@@ -311,7 +311,7 @@
 
 // recordEnd counts and logs the end of a request, and records the latency of an
 // answered one.
-func (g *Gateway) recordEnd(b *ingressbook.Ingressbook, r *request.Request, i *ingress.Ingress, o outcome.Outcome, d time.Duration) {
+func (g *Gateway) recordEnd(b *routeindex.Routeindex, r *request.Request, i *ingress.Ingress, o outcome.Outcome, d time.Duration) {
 	g.OnOutcome(o.Outcome)
 	if o.Outcome == outcome.Answered {
 		g.Latency.Observe(r.Route, d)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -15,30 +15,30 @@
 	"github.com/shoenig/test/must"
 
 	"celeryreach.example/celeryreach/account"
+	"celeryreach.example/celeryreach/attempted"
 	"celeryreach.example/celeryreach/backend"
 	"celeryreach.example/celeryreach/config"
 	"celeryreach.example/celeryreach/credential"
+	"celeryreach.example/celeryreach/decisionlog"
 	"celeryreach.example/celeryreach/freshness"
 	"celeryreach.example/celeryreach/gateway"
 	"celeryreach.example/celeryreach/ingress"
-	"celeryreach.example/celeryreach/ingressbook"
 	"celeryreach.example/celeryreach/latency"
 	"celeryreach.example/celeryreach/logbuffer"
 	"celeryreach.example/celeryreach/outcome"
 	"celeryreach.example/celeryreach/placement"
 	"celeryreach.example/celeryreach/request"
+	"celeryreach.example/celeryreach/routeindex"
 	"celeryreach.example/celeryreach/scripttest"
 	"celeryreach.example/celeryreach/slot"
 	"celeryreach.example/celeryreach/tokens"
-	"celeryreach.example/celeryreach/trail"
-	"celeryreach.example/celeryreach/tried"
 )
 
 // fixture is a host with a configuration and no backend servers.
 type fixture struct {
 	clock        *clockwork.FakeClock
 	gateway      *gateway.Gateway
-	book         *ingressbook.Ingressbook
+	book         *routeindex.Routeindex
 	store        *freshness.Freshness
 	log          *logbuffer.Logbuffer
 	whileWaiting func() // called while a request waits
@@ -70,7 +70,7 @@
 	w := &fixture{clock: c, store: &freshness.Freshness{Clock: c}, log: new(logbuffer.Logbuffer), whileWaiting: func() {}}
 	w.gateway = &gateway.Gateway{
 		Clock: c, Log: log.NewWithOptions(w.log, log.Options{Formatter: log.LogfmtFormatter}),
-		Index: func() *ingressbook.Ingressbook { return w.book },
+		Index: func() *routeindex.Routeindex { return w.book },
 		StoreAge: func() (time.Duration, bool) {
 			a := w.store.Age()
 			return time.Duration(max(a-1, 0)), a > 0
@@ -102,7 +102,7 @@
 	for _, k := range keys {
 		c.Keys = append(c.Keys, credential.Credential{Account: "unity", Hash: credential.Hash(k)})
 	}
-	w.book = ingressbook.New(c, w.book, w.clock.Now())
+	w.book = routeindex.New(c, w.book, w.clock.Now())
 	w.gateway.Tokens.Set(c.Accounts)
 }
 
@@ -170,7 +170,7 @@
 		return again[b.Name], again[b.Name] == 0
 	}
 	return w.gateway.AcquireSlot(ctx, &request.Request{
-		ID: "r1", Admitted: w.clock.Now(), MaxWait: patience, Tried: new(tried.Tried), Trail: new(trail.Trail),
+		ID: "r1", Admitted: w.clock.Now(), MaxWait: patience, Tried: new(attempted.Attempted), Trail: new(decisionlog.Decisionlog),
 	})
 }
 
@@ -200,7 +200,7 @@
 	_, o := placeRequest(x, 0, map[string]time.Duration{"c1": time.Second, "c2": time.Second})
 	must.EqOp(t, outcome.Left, o.Outcome)
 	w := newFixture()
-	_, o = w.gateway.AcquireSlot(x, &request.Request{ID: "r1", Admitted: w.clock.Now(), Trail: new(trail.Trail)})
+	_, o = w.gateway.AcquireSlot(x, &request.Request{ID: "r1", Admitted: w.clock.Now(), Trail: new(decisionlog.Decisionlog)})
 	must.EqOp(t, outcome.NoCapacity, o.Outcome)
 	must.Positive(t, o.RetryAfter)
 }
--- a/growth/growth.go
+++ b/growthlimit/growthlimit.go
@@ -3,7 +3,7 @@
 // its callers arrive at once; a domain that took them all with cold caches
 // would fail next. The limit applies where the traffic arrives, regardless of
 // the view of senders and plans.
-package growth
+package growthlimit
 
 import (
 	"math"
@@ -25,7 +25,7 @@
 // Growth admits remote requests. In each interval it admits at most the remote
 // requests that it admitted in the last one, plus Cap times all requests that
 // ran in the last one.
-type Growth struct {
+type Growthlimit struct {
 	// Clock measures the intervals.
 	Clock clockwork.Clock
 	// Cap returns the relative growth per interval.
@@ -46,7 +46,7 @@
 }
 
 // Note counts a request of the domain's own callers that ran.
-func (g *Growth) CountLocal() {
+func (g *Growthlimit) CountLocal() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.startInterval(g.Clock.Now())
@@ -54,7 +54,7 @@
 }
 
 // Admit admits a remote request, or returns the time after which to retry.
-func (g *Growth) Admit() (retry time.Duration, ok bool) {
+func (g *Growthlimit) Admit() (retry time.Duration, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := g.Clock.Now()
@@ -73,7 +73,7 @@
 }
 
 // Return takes back an admitted request that was refused later and did not run.
-func (g *Growth) Cancel() {
+func (g *Growthlimit) Cancel() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tokens++
@@ -82,7 +82,7 @@
 }
 
 // startInterval begins a new interval when the last one is over.
-func (g *Growth) startInterval(now time.Time) {
+func (g *Growthlimit) startInterval(now time.Time) {
 	i := g.Interval()
 	switch {
 	case g.intervalStart.IsZero():
@@ -101,7 +101,7 @@
 	g.intervalStart = now
 }
 
-func (g *Growth) refill(now time.Time) {
+func (g *Growthlimit) refill(now time.Time) {
 	if d := now.Sub(g.refilledAt).Seconds(); d > 0 {
 		// The remaining part of the allowance is the burst.
 		g.tokens += d * g.rate * (1 - g.burstFraction())
@@ -113,6 +113,6 @@
 // burstFraction returns the fraction of an interval's allowance that may arrive
 // at once. It is at most half of Cap, so that a domain that uses all of its
 // allowance continues to grow even if Cap is small.
-func (g *Growth) burstFraction() float64 {
+func (g *Growthlimit) burstFraction() float64 {
 	return min(maxBurstFraction, g.Cap()/2)
 }
--- a/growth/growth_test.go
+++ b/growthlimit/growthlimit_test.go
@@ -1,4 +1,4 @@
-package growth
+package growthlimit
 
 import (
 	"testing"
@@ -11,8 +11,8 @@
 
 const interval = 10 * time.Second
 
-func newGrowth(c clockwork.Clock, part, idle float64) *Growth {
-	return &Growth{
+func newGrowth(c clockwork.Clock, part, idle float64) *Growthlimit {
+	return &Growthlimit{
 		Clock: c, Cap: func() float64 { return part }, Interval: func() time.Duration { return interval },
 		Idle: func() float64 { return idle },
 	}
--- a/partners/partners.go
+++ b/heartbeatpeers/heartbeatpeers.go
@@ -1,5 +1,5 @@
 // Package partners selects the hosts with which a host exchanges heartbeats.
-package partners
+package heartbeatpeers
 
 import (
 	"sort"
@@ -13,7 +13,7 @@
 // of the region is the partner of some hosts.
 const perOtherRegion = 2
 
-// Partners returns all hosts of the same region, which must know which of them are
+// Select returns all hosts of the same region, which must know which of them are
 // alive, and a few of each other region, which provide updates: versions and names of
 // new hosts. The number of heartbeats then grows with the hosts of a region and not
 // with the square of all hosts. Hosts that are alive come first. Each host prefers
--- a/partners/partners_test.go
+++ b/heartbeatpeers/heartbeatpeers_test.go
@@ -1,4 +1,4 @@
-package partners_test
+package heartbeatpeers_test
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 	"pgregory.net/rapid"
 
+	"celeryreach.example/celeryreach/heartbeatpeers"
 	"celeryreach.example/celeryreach/member"
-	"celeryreach.example/celeryreach/partners"
 )
 
 func hosts(regions, each int) []member.Member {
@@ -32,7 +32,7 @@
 		dead := rapid.SampledFrom(l).Draw(t, "dead").Name
 		for _, h := range l {
 			seen := make(map[string]int)
-			for _, p := range partners.Select(h, l, func(n string) bool { return n != dead }) {
+			for _, p := range heartbeatpeers.Select(h, l, func(n string) bool { return n != dead }) {
 				must.NotEqOp(t, h.Name, p.Name)
 				if p.Name != dead {
 					seen[p.Region]++
@@ -52,7 +52,7 @@
 	l := hosts(3, 28)
 	most := make(map[string]int)
 	for _, h := range l {
-		p := partners.Select(h, l, func(string) bool { return true })
+		p := heartbeatpeers.Select(h, l, func(string) bool { return true })
 		must.Len(t, 27+2*2, p)
 		for _, m := range p {
 			most[m.Name]++
--- a/hop/hop.go
+++ b/hopheader/hopheader.go
@@ -1,6 +1,6 @@
 // Package hop removes hop-by-hop header fields, which apply to a single
 // connection.
-package hop
+package hopheader
 
 import (
 	"net/http"
--- a/host/domain.go
+++ b/host/domain.go
@@ -9,19 +9,19 @@
 	"strings"
 	"time"
 
-	"celeryreach.example/celeryreach/author"
 	"celeryreach.example/celeryreach/backend"
 	"celeryreach.example/celeryreach/child"
+	"celeryreach.example/celeryreach/divisionwriter"
 	"celeryreach.example/celeryreach/forward"
-	"celeryreach.example/celeryreach/growth"
+	"celeryreach.example/celeryreach/growthlimit"
 	"celeryreach.example/celeryreach/healthcheck"
-	"celeryreach.example/celeryreach/lanes"
 	"celeryreach.example/celeryreach/link"
 	"celeryreach.example/celeryreach/linklimit"
 	"celeryreach.example/celeryreach/member"
 	"celeryreach.example/celeryreach/outcome"
 	"celeryreach.example/celeryreach/receive"
 	"celeryreach.example/celeryreach/request"
+	"celeryreach.example/celeryreach/servicequeues"
 	"celeryreach.example/celeryreach/slotloan"
 	"celeryreach.example/celeryreach/streampool"
 	"celeryreach.example/celeryreach/wire"
@@ -48,7 +48,7 @@
 	loan    *slotloan.Slotloan
 	checks  *healthcheck.Healthcheck
 	links   *linklimit.Linklimit
-	growth  *growth.Growth
+	growth  *growthlimit.Growthlimit
 	streams *streampool.Streampool
 }
 
@@ -76,7 +76,7 @@
 		Clock: h.Clock, Host: h.Settings.Name, MaxLoan: h.Settings.Hold * 9 / 10,
 		Lenders: x.slotLenders, Send: x.peerclient.Borrow,
 	}
-	x.lanes = &lanes.Lanes{
+	x.lanes = &servicequeues.Servicequeues{
 		Clock: h.Clock, Domains: x.slotDomains, Snapshot: x.follower.Snapshot,
 		Slots: x.ownedSlots, AcquireBorrowed: d.loan.Acquire,
 		OnDrained: x.recordDrain,
@@ -115,7 +115,7 @@
 			return d.links.Take(h.Settings.Region, region, n)
 		},
 	}
-	d.growth = &growth.Growth{
+	d.growth = &growthlimit.Growthlimit{
 		Clock:    h.Clock,
 		Cap:      func() float64 { return x.follower.Snapshot().Preset.GrowthCap },
 		Interval: func() time.Duration { return x.follower.Snapshot().Preset.ShiftInterval },
@@ -290,7 +290,7 @@
 		return r
 	}
 	for _, d := range s.Config.Domains {
-		if d.Name != r[0] && d.Region == x.host.Settings.Region && x.limits.holding.Fraction(author.SlotsPrefix+d.Name) > 0 {
+		if d.Name != r[0] && d.Region == x.host.Settings.Region && x.limits.holding.Fraction(divisionwriter.SlotsPrefix+d.Name) > 0 {
 			r = append(r, d.Name)
 		}
 	}
@@ -299,5 +299,5 @@
 
 // ownedSlots returns how many slots of a backend server this host owns.
 func (x *components) ownedSlots(b backend.Backend) int {
-	return len(x.limits.holding.Slots(author.SlotsPrefix+b.Domain, b.Slots))
+	return len(x.limits.holding.Slots(divisionwriter.SlotsPrefix+b.Domain, b.Slots))
 }
--- a/host/host.go
+++ b/host/host.go
@@ -12,7 +12,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"celeryreach.example/celeryreach/certs"
+	"celeryreach.example/celeryreach/certreloader"
 	"celeryreach.example/celeryreach/counter"
 	"celeryreach.example/celeryreach/settings"
 	"celeryreach.example/celeryreach/store"
@@ -44,7 +44,7 @@
 	// Counter counts requests by outcome.
 	Counter *counter.Counter
 
-	peerCerts  *certs.Certs
+	peerCerts  *certreloader.Certreloader
 	unfinished atomic.Int64
 }
 
--- a/host/limits.go
+++ b/host/limits.go
@@ -9,15 +9,15 @@
 	"github.com/jonboulle/clockwork"
 
 	"celeryreach.example/celeryreach/account"
-	"celeryreach.example/celeryreach/author"
 	"celeryreach.example/celeryreach/child"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/config"
 	"celeryreach.example/celeryreach/demand"
 	"celeryreach.example/celeryreach/division"
+	"celeryreach.example/celeryreach/divisionwriter"
+	"celeryreach.example/celeryreach/entitlement"
 	"celeryreach.example/celeryreach/grant"
 	"celeryreach.example/celeryreach/holder"
-	"celeryreach.example/celeryreach/holding"
 	"celeryreach.example/celeryreach/loan"
 	"celeryreach.example/celeryreach/quota"
 	"celeryreach.example/celeryreach/request"
@@ -52,8 +52,8 @@
 // may use. A division assigns shares of each limit to failure domains and
 // hosts; its version number is the epoch.
 type limits struct {
-	holding *holding.Holding
-	author  *author.Author
+	holding *entitlement.Entitlement
+	author  *divisionwriter.Divisionwriter
 	demand  *demand.Demand
 	loan    *loan.Loan
 	fetches chan uint64
@@ -67,7 +67,7 @@
 	s := holder.Holder{Name: m.Name, Incarnation: m.Incarnation, Domain: m.Domain, Region: m.Region}
 	x.quota = &quota.Quota{Clock: h.Clock, Account: x.account, Grant: x.grant, Hold: h.Settings.Hold}
 	l := &limits{fetches: make(chan uint64, 1)}
-	l.holding = &holding.Holding{
+	l.holding = &entitlement.Entitlement{
 		Clock: h.Clock, Self: s, Hold: h.Settings.Hold, StoreHold: leasedShareLifetime, Every: h.Settings.Heartbeat,
 		BeforeChange: x.quota.RefillAll, Busy: x.overcommitted, LoanDuration: loanDuration + loanDuration/10,
 	}
@@ -75,7 +75,7 @@
 	l.loan = loan.New(h.Clock, loanDuration)
 	l.loan.Self, l.loan.Lenders, l.loan.Send, l.loan.Received = m.Name, x.tokenLenders, x.peerclient.Borrow, x.quota.Receive
 	x.quota.Borrow = l.loan.Borrow
-	l.author = &author.Author{
+	l.author = &divisionwriter.Divisionwriter{
 		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Holding: l.holding, Alive: x.activeHolders, Config: x.config,
 		Demand: l.demand.Fractions, Listed: x.membership.IsListed, Every: h.Settings.Hold / pollsPerHold, MinEpochInterval: minDemandDivisionInterval,
 	}
--- a/host/parts.go
+++ b/host/parts.go
@@ -7,15 +7,14 @@
 	"sync/atomic"
 	"time"
 
-	"celeryreach.example/celeryreach/burn"
-	"celeryreach.example/celeryreach/keep"
+	"celeryreach.example/celeryreach/burncounter"
+	"celeryreach.example/celeryreach/countstore"
 
-	"celeryreach.example/celeryreach/admission"
+	"celeryreach.example/celeryreach/authenticator"
+	"celeryreach.example/celeryreach/configfollower"
+	"celeryreach.example/celeryreach/confighistory"
 	"celeryreach.example/celeryreach/dispatch"
-	"celeryreach.example/celeryreach/follower"
 	"celeryreach.example/celeryreach/forward"
-	"celeryreach.example/celeryreach/history"
-	"celeryreach.example/celeryreach/lanes"
 	"celeryreach.example/celeryreach/lookup"
 	"celeryreach.example/celeryreach/member"
 	"celeryreach.example/celeryreach/membership"
@@ -23,6 +22,7 @@
 	"celeryreach.example/celeryreach/peerserver"
 	"celeryreach.example/celeryreach/quota"
 	"celeryreach.example/celeryreach/receive"
+	"celeryreach.example/celeryreach/servicequeues"
 	"celeryreach.example/celeryreach/wire"
 )
 
@@ -30,11 +30,11 @@
 type components struct {
 	host        *Host
 	leaving     atomic.Bool
-	follower    *follower.Follower
+	follower    *configfollower.Configfollower
 	membership  *membership.Membership
 	peerclient  *peerclient.Peerclient
 	peerserver  *peerserver.Peerserver
-	lanes       *lanes.Lanes
+	lanes       *servicequeues.Servicequeues
 	localDomain *localDomain
 	quota       *quota.Quota
 	limits      *limits
@@ -42,10 +42,10 @@
 	forward     *forward.Forward
 	receive     *receive.Receive
 	lookup      *lookup.Lookup
-	admission   *admission.Admission
-	history     history.History
-	burn        *burn.Burn
-	keep        *keep.Keep
+	admission   *authenticator.Authenticator
+	history     confighistory.Confighistory
+	burn        *burncounter.Burncounter
+	keep        *countstore.Countstore
 	steering    *steering
 	requests    requests
 }
@@ -55,7 +55,7 @@
 	x.steering = x.newSteering()
 	x.follower = x.newFollower()
 	x.peerclient = &peerclient.Peerclient{Dial: h.dialPeer}
-	x.admission = &admission.Admission{Snapshot: x.follower.Snapshot, Stale: x.areKeysStale}
+	x.admission = &authenticator.Authenticator{Snapshot: x.follower.Snapshot, Stale: x.areKeysStale}
 	x.membership = x.newMembership()
 	x.newLimits()
 	x.newLocalDomain()
--- a/host/plans.go
+++ b/host/plans.go
@@ -9,7 +9,7 @@
 	"sort"
 	"time"
 
-	"celeryreach.example/celeryreach/accepted"
+	"celeryreach.example/celeryreach/acceptedversion"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/domain"
 	"celeryreach.example/celeryreach/lease"
@@ -107,7 +107,7 @@
 		return false, err
 	}
 	r := x.steering.plans.Replica()
-	w := &publish.Publish{Clock: x.host.Clock, Platform: x.host.Platform, Key: accepted.PlanKey, Fence: x.steering.lease.Fence}
+	w := &publish.Publish{Clock: x.host.Clock, Platform: x.host.Platform, Key: acceptedversion.PlanKey, Fence: x.steering.lease.Fence}
 	a, ok, err := w.Commit(ctx, from, b)
 	if err != nil {
 		return false, err
--- a/host/product.go
+++ b/host/product.go
@@ -6,15 +6,15 @@
 	"slices"
 	"time"
 
-	"celeryreach.example/celeryreach/burn"
-	"celeryreach.example/celeryreach/keep"
+	"celeryreach.example/celeryreach/burncounter"
+	"celeryreach.example/celeryreach/countstore"
+	"celeryreach.example/celeryreach/hostcounts"
 	"celeryreach.example/celeryreach/outcome"
 	"celeryreach.example/celeryreach/request"
-	"celeryreach.example/celeryreach/sums"
 
 	"celeryreach.example/celeryreach/load"
 	"celeryreach.example/celeryreach/member"
-	"celeryreach.example/celeryreach/operator"
+	"celeryreach.example/celeryreach/operatorapi"
 	"celeryreach.example/celeryreach/status"
 	"celeryreach.example/celeryreach/validate"
 )
@@ -39,7 +39,7 @@
 
 // operatorHandler returns the handler of the operator address.
 func (x *components) operatorHandler() http.Handler {
-	return &operator.Operator{
+	return &operatorapi.Operatorapi{
 		Log: x.host.Log, Snapshot: x.follower.Snapshot, History: &x.history,
 		Change: x.newChange(), Validate: validate.Config, Status: x.status, Sums: x.burn.Sums, StoredSums: x.storedCounts, ExplainLookup: x.explainLookup,
 	}
@@ -47,8 +47,8 @@
 
 // newBurn creates the components that count requests for the burn report.
 func (x *components) newBurn() {
-	x.burn = &burn.Burn{Clock: x.host.Clock, Self: x.self(), Latency: x.latencyObjective, SlotLoads: x.lanes.Loads}
-	x.keep = &keep.Keep{Clock: x.host.Clock, Log: x.host.Log, Platform: x.host.Platform, Interval: storeCountsInterval, Sums: x.burn.Sums}
+	x.burn = &burncounter.Burncounter{Clock: x.host.Clock, Self: x.self(), Latency: x.latencyObjective, SlotLoads: x.lanes.Loads}
+	x.keep = &countstore.Countstore{Clock: x.host.Clock, Log: x.host.Log, Platform: x.host.Platform, Interval: storeCountsInterval, Sums: x.burn.Sums}
 }
 
 // latencyObjective returns the latency objective of a service, zero if there is
@@ -78,7 +78,7 @@
 
 // storedCounts returns the stored counts of processes that this host receives
 // no heartbeats from.
-func (x *components) storedCounts(ctx context.Context) ([]sums.Sums, error) {
+func (x *components) storedCounts(ctx context.Context) ([]hostcounts.Hostcounts, error) {
 	h := x.hosts()
 	return x.keep.Load(ctx, func(host string, incarnation uint64) bool {
 		return slices.ContainsFunc(h, func(m member.Member) bool { return m.Name == host && m.Incarnation == incarnation })
--- a/host/requests.go
+++ b/host/requests.go
@@ -6,22 +6,22 @@
 	"sync/atomic"
 	"time"
 
-	"celeryreach.example/celeryreach/budget"
+	"celeryreach.example/celeryreach/commitbatch"
 	"celeryreach.example/celeryreach/deadline"
+	"celeryreach.example/celeryreach/dedup"
 	"celeryreach.example/celeryreach/dispatch"
 	"celeryreach.example/celeryreach/entry"
 	"celeryreach.example/celeryreach/expiry"
-	"celeryreach.example/celeryreach/group"
 	"celeryreach.example/celeryreach/hedge"
 	"celeryreach.example/celeryreach/idempotency"
 	"celeryreach.example/celeryreach/inflight"
-	"celeryreach.example/celeryreach/mint"
-	"celeryreach.example/celeryreach/once"
 	"celeryreach.example/celeryreach/outcome"
 	"celeryreach.example/celeryreach/request"
-	"celeryreach.example/celeryreach/ticket"
+	"celeryreach.example/celeryreach/responsecopier"
+	"celeryreach.example/celeryreach/retrybudget"
+	"celeryreach.example/celeryreach/ticketendpoint"
+	"celeryreach.example/celeryreach/ticketstore"
 	"celeryreach.example/celeryreach/upstream"
-	"celeryreach.example/celeryreach/whole"
 )
 
 const (
@@ -57,7 +57,7 @@
 type requests struct {
 	idempotency *idempotency.Idempotency
 	expiry      *expiry.Expiry
-	tickets     *ticket.Ticket
+	tickets     *ticketstore.Ticketstore
 	inflight    inflight.Inflight
 	closed      atomic.Bool
 }
@@ -67,27 +67,27 @@
 	q := &x.requests
 	q.idempotency = &idempotency.Idempotency{
 		Clock: h.Clock, Platform: h.Platform, Host: h.Settings.Name, Incarnation: h.Incarnation,
-		Group: &group.Group{Clock: h.Clock, Commit: h.Platform.Commit, MinInterval: minCommitInterval, MaxRows: maxCommitBatch, Timeout: storeTimeout},
+		Group: &commitbatch.Commitbatch{Clock: h.Clock, Commit: h.Platform.Commit, MinInterval: minCommitInterval, MaxRows: maxCommitBatch, Timeout: storeTimeout},
 		Alive: x.isProcessAlive, Timeout: storeTimeout, Index: expiry.Index,
 	}
 	q.expiry = &expiry.Expiry{Clock: h.Clock, Log: h.Log, Platform: h.Platform, Retention: retention, IsSweeper: x.runsExpirySweep}
-	q.tickets = &ticket.Ticket{
+	q.tickets = &ticketstore.Ticketstore{
 		Clock: h.Clock, Host: h.Settings.Name, Incarnation: h.Incarnation, HostAddress: x.processCallerAddress,
 		Lifetime: ticketLifetime, MaxAnswerBytes: maxTicketBytes, MaxUsed: maxTickets,
 	}
 	x.dispatch = &dispatch.Dispatch{
 		Clock: h.Clock, Queue: x.lanes.Queue, Valid: x.admission.Valid, Confirm: x.confirmToken, Upstream: upstream.New(h.Clock, dialTimeout),
 		Timeout: func() time.Duration { return x.follower.Snapshot().Preset.MaxWait },
-		Budget:  &budget.Budget{Ratio: func() float64 { return x.follower.Snapshot().Preset.RetryBudget }},
+		Budget:  &retrybudget.Retrybudget{Ratio: func() float64 { return x.follower.Snapshot().Preset.RetryBudget }},
 		Hedge:   &hedge.Hedge{Initial: initialHedgeDelay, Min: minHedgeDelay, Max: maxHedgeDelay},
-		Whole:   &whole.Whole{Clock: h.Clock, BufferLimit: maxHeldBytes, WriteTimeout: slowReadTimeout},
+		Whole:   &responsecopier.Responsecopier{Clock: h.Clock, BufferLimit: maxHeldBytes, WriteTimeout: slowReadTimeout},
 	}
 }
 
 // callerHandler returns the handler of the caller address.
 func (x *components) callerHandler() http.Handler {
 	q := &x.requests
-	o := &once.Once{Begin: q.idempotency.Begin, End: q.idempotency.End, Tickets: q.tickets}
+	o := &dedup.Dedup{Begin: q.idempotency.Begin, End: q.idempotency.End, Tickets: q.tickets}
 	e := &entry.Entry{
 		Clock: x.host.Clock, Log: x.host.Log, Snapshot: x.follower.Snapshot, Admission: x.admission,
 		Quota: x.quota, Local: x.serveCaller, Forward: x.forward.Serve, EntryHosts: x.entryHosts, Done: x.recordOutcome,
@@ -95,7 +95,7 @@
 	}
 	m := http.NewServeMux()
 	m.Handle("GET /lookup", x.lookup)
-	m.Handle("GET /tickets", &mint.Mint{Admission: x.admission, Ticket: q.tickets, EntryHost: x.host.Settings.CallerAddress})
+	m.Handle("GET /tickets", &ticketendpoint.Ticketendpoint{Admission: x.admission, Ticket: q.tickets, EntryHost: x.host.Settings.CallerAddress})
 	m.Handle("/", x.countInFlight(x.markRemoteCallers(e)))
 	return x.requireReady(m)
 }
--- a/host/secure.go
+++ b/host/secure.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 
 	"celeryreach.example/celeryreach/certificate"
-	"celeryreach.example/celeryreach/certs"
+	"celeryreach.example/celeryreach/certreloader"
 )
 
 // wrapTLS wraps the listeners whose settings name certificates in TLS.
@@ -40,8 +40,8 @@
 	return c, p, o, nil
 }
 
-func (h *Host) loadCerts(field string, f certificate.Certificate) (*certs.Certs, error) {
-	c := &certs.Certs{Clock: h.Clock, Log: h.Log, Certificate: f}
+func (h *Host) loadCerts(field string, f certificate.Certificate) (*certreloader.Certreloader, error) {
+	c := &certreloader.Certreloader{Clock: h.Clock, Log: h.Log, Certificate: f}
 	return c, errors.Wrap(c.Load(), field)
 }
 
--- a/host/steering.go
+++ b/host/steering.go
@@ -7,24 +7,24 @@
 	"sync/atomic"
 	"time"
 
-	"celeryreach.example/celeryreach/accepted"
+	"celeryreach.example/celeryreach/acceptedversion"
 	"celeryreach.example/celeryreach/blockfollower"
-	"celeryreach.example/celeryreach/change"
+	"celeryreach.example/celeryreach/configcommit"
+	"celeryreach.example/celeryreach/configfollower"
+	"celeryreach.example/celeryreach/errorresponse"
 	"celeryreach.example/celeryreach/failover"
-	"celeryreach.example/celeryreach/follower"
 	"celeryreach.example/celeryreach/freshness"
-	"celeryreach.example/celeryreach/gauge"
-	"celeryreach.example/celeryreach/inforce"
 	"celeryreach.example/celeryreach/lease"
+	"celeryreach.example/celeryreach/loadstats"
 	"celeryreach.example/celeryreach/member"
 	"celeryreach.example/celeryreach/meter"
 	"celeryreach.example/celeryreach/observation"
 	"celeryreach.example/celeryreach/outcome"
 	"celeryreach.example/celeryreach/planfollower"
 	"celeryreach.example/celeryreach/planner"
-	"celeryreach.example/celeryreach/refusal"
 	"celeryreach.example/celeryreach/relay"
 	"celeryreach.example/celeryreach/replica"
+	"celeryreach.example/celeryreach/rollout"
 	"celeryreach.example/celeryreach/roster"
 	"celeryreach.example/celeryreach/wire"
 )
@@ -65,7 +65,7 @@
 	planner          *planner.Planner
 	lease            *lease.Lease
 	meter            *meter.Meter
-	gauge            *gauge.Gauge
+	gauge            *loadstats.Loadstats
 	failover         *failover.Failover
 	started          time.Time
 	lastObservations atomic.Pointer[[]observation.Observation]
@@ -93,7 +93,7 @@
 			},
 		},
 		known: make(map[string]knownHost), newest: make(map[string]uint64), meter: new(meter.Meter), started: h.Clock.Now(),
-		gauge: &gauge.Gauge{Clock: h.Clock, Window: gaugeWindow, Timeout: lostAfterHolds * h.Settings.Hold},
+		gauge: &loadstats.Loadstats{Clock: h.Clock, Window: gaugeWindow, Timeout: lostAfterHolds * h.Settings.Hold},
 	}
 	s.plans = &planfollower.Planfollower{
 		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Poll: x.pollInterval,
@@ -120,21 +120,21 @@
 	return s
 }
 
-func (x *components) newFollower() *follower.Follower {
+func (x *components) newFollower() *configfollower.Configfollower {
 	h := x.host
-	return &follower.Follower{
+	return &configfollower.Configfollower{
 		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Poll: x.pollInterval, Changed: x.steering.relay.Wake,
 		Polled: x.steering.freshness.RecordContact,
 	}
 }
 
-func (x *components) newChange() *change.Change {
-	return &change.Change{
+func (x *components) newChange() *configcommit.Configcommit {
+	return &configcommit.Configcommit{
 		Platform: x.host.Platform, Clock: x.host.Clock,
 		// The accepting host applies the change without waiting for its next
 		// poll, so that the withdrawal of a key is distributed to all hosts as
 		// soon as it is accepted.
-		OnAccepted: func(a accepted.Accepted, b []byte) {
+		OnAccepted: func(a acceptedversion.Acceptedversion, b []byte) {
 			if err := x.follower.Offer(a.Version, a.Hash, b); err != nil {
 				x.host.Log.Error("cannot apply accepted configuration", "Version", a.Version, "Error", err)
 			}
@@ -179,7 +179,7 @@
 func (x *components) fillSteering(h *wire.Heartbeat) {
 	for _, r := range x.steering.relay.Replicas {
 		v := r.Digest()
-		v.Hash = accepted.Short(v.Hash)
+		v.Hash = acceptedversion.Short(v.Hash)
 		h.Versions = append(h.Versions, v)
 	}
 	h.KeyAgeNanoseconds = x.steering.freshness.OwnAge()
@@ -221,7 +221,7 @@
 
 // inForce returns on which hosts a configuration version is in force, as
 // reported by heartbeats.
-func (x *components) inForce(version uint64) inforce.Inforce {
+func (x *components) inForce(version uint64) rollout.Rollout {
 	n := x.host.Clock.Now()
 	var k []member.Member
 	x.steering.mu.Lock()
@@ -240,7 +240,7 @@
 			d = append(d, o.Name)
 		}
 	}
-	return inforce.Of(version, v, x.self(), k, d, x.membership.LastHeartbeat)
+	return rollout.Of(version, v, x.self(), k, d, x.membership.LastHeartbeat)
 }
 
 // waitUntilReady admits callers once the host has the newest versions that it
@@ -320,7 +320,7 @@
 func (x *components) requireReady(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !x.steering.ready.Load() && (r.URL.Path != lookupPath || !x.steering.current.Load()) {
-			refusal.Write(w, outcome.Outcome{
+			errorresponse.Write(w, outcome.Outcome{
 				Outcome: outcome.NoCapacity, Ran: outcome.RanNo, RetryAfter: time.Second, EntryHosts: x.entryHosts("", ""),
 				Message: "this host is starting and is not ready to serve requests yet",
 			})
--- a/host/why.go
+++ b/host/why.go
@@ -3,15 +3,15 @@
 import (
 	"net/netip"
 
+	"celeryreach.example/celeryreach/lookupexplanation"
 	"celeryreach.example/celeryreach/route"
 	"celeryreach.example/celeryreach/share"
-	"celeryreach.example/celeryreach/why"
 )
 
 // explainLookup returns the answer to a lookup together with the intermediate
 // results that led to it.
-func (x *components) explainLookup(account, service, region string, a netip.Addr) why.Why {
-	w := why.Why{Home: region}
+func (x *components) explainLookup(account, service, region string, a netip.Addr) lookupexplanation.Lookupexplanation {
+	w := lookupexplanation.Lookupexplanation{Home: region}
 	w.Answer, w.Refusal = x.lookup.Find(account, service, region, a)
 	p, h, ok := x.findBlock(a)
 	if ok {
--- a/answer/written_test.go
+++ b/hostcounts/written_test.go
@@ -1,4 +1,4 @@
-package answer
+package hostcounts
 
 import (
 	"testing"
@@ -7,5 +7,5 @@
 )
 
 func TestWritten(t *testing.T) {
-	writtenform.Check(t, "answer", new(Answer))
+	writtenform.Check(t, "sums", new(Hostcounts))
 }
--- a/idempotency/idempotency.go
+++ b/idempotency/idempotency.go
@@ -11,11 +11,11 @@
 	"github.com/jonboulle/clockwork"
 
 	"celeryreach.example/celeryreach/codec"
+	"celeryreach.example/celeryreach/commitbatch"
 	"celeryreach.example/celeryreach/deadline"
-	"celeryreach.example/celeryreach/group"
+	"celeryreach.example/celeryreach/duplicate"
 	"celeryreach.example/celeryreach/outcome"
 	"celeryreach.example/celeryreach/record"
-	"celeryreach.example/celeryreach/repeat"
 	"celeryreach.example/celeryreach/row"
 	"celeryreach.example/celeryreach/store"
 )
@@ -40,7 +40,7 @@
 	// Platform stores the records.
 	Platform store.Store
 	// Group batches the writes of the rows that permit requests to run.
-	Group *group.Group
+	Group *commitbatch.Commitbatch
 	// Host is the name of this host.
 	Host string
 	// Incarnation is the incarnation of this host.
@@ -91,7 +91,7 @@
 			return i.insert(ctx, a)
 		}
 		if a.digest != digest {
-			return r, repeat.Outcome(record.Record{Digest: a.digest}, digest, false)
+			return r, duplicate.Outcome(record.Record{Digest: a.digest}, digest, false)
 		}
 		select {
 		case <-a.done:
@@ -255,7 +255,7 @@
 
 // outcomeFor returns the outcome of a request that finds record v.
 func (i *Idempotency) outcomeFor(v record.Record, digest string) outcome.Outcome {
-	return repeat.Outcome(v, digest, i.ownerAlive(v))
+	return duplicate.Outcome(v, digest, i.ownerAlive(v))
 }
 
 // ownerAlive reports whether the owner of a record may still end it. This
--- a/idempotency/store_test.go
+++ b/idempotency/store_test.go
@@ -9,11 +9,11 @@
 	"github.com/pkg/errors"
 
 	"celeryreach.example/celeryreach/commit"
-	"celeryreach.example/celeryreach/group"
+	"celeryreach.example/celeryreach/commitbatch"
 	"celeryreach.example/celeryreach/idempotency"
+	"celeryreach.example/celeryreach/memorytable"
 	"celeryreach.example/celeryreach/row"
 	"celeryreach.example/celeryreach/store"
-	"celeryreach.example/celeryreach/table"
 )
 
 var errStore = errors.New("the store does not answer")
@@ -23,7 +23,7 @@
 // "late" (commits fail, and take effect when applyDelayed is called). Reads
 // fail only in mode "out" or with failReads.
 type faultyStore struct {
-	table table.Table
+	table memorytable.Memorytable
 
 	mu           sync.Mutex
 	mode         string
@@ -90,7 +90,7 @@
 	return &idempotency.Idempotency{
 		Clock: c, Platform: p, Host: name, Incarnation: incarnation, Alive: alive, Timeout: 100 * time.Millisecond,
 		// Without Gap and Timeout, because advance would count their timers.
-		Group: &group.Group{Clock: c, Commit: p.Commit, MaxRows: 16},
+		Group: &commitbatch.Commitbatch{Clock: c, Commit: p.Commit, MaxRows: 16},
 	}
 }
 
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -4,7 +4,7 @@
 import (
 	"time"
 
-	"celeryreach.example/celeryreach/portion"
+	"celeryreach.example/celeryreach/weightedservice"
 )
 
 // Ingress is one route: the requests that it matches and how they are handled.
@@ -26,7 +26,7 @@
 	// Priority is the rank of the requests. 0 is the most urgent.
 	Priority int
 	// Portions are the services that the requests are distributed to.
-	Portions []portion.Portion
+	Portions []weightedservice.Weightedservice
 	// Attempts is the maximum number of backend servers that one request is
 	// sent to.
 	Attempts int
--- a/pulse/pulse.go
+++ b/keepalive/keepalive.go
@@ -2,7 +2,7 @@
 // device between two hosts can lose the state of a connection, after which
 // neither data nor an error arrives. Both ends therefore send keepalive
 // messages at intervals.
-package pulse
+package keepalive
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 )
 
 // Pulse monitors one stream.
-type Pulse struct {
+type Keepalive struct {
 	// Clock paces the messages.
 	Clock clockwork.Clock
 	// Every is the interval between two keepalive messages.
@@ -34,14 +34,14 @@
 
 // Wait records that the reader starts waiting for a message. Only this time
 // counts as silence: while the reader is busy, messages may have arrived.
-func (p *Pulse) Wait() {
+func (p *Keepalive) Wait() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.waitingSince = p.Clock.Now()
 }
 
 // Got records that a message arrived.
-func (p *Pulse) Received() {
+func (p *Keepalive) Received() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.waitingSince = time.Time{}
@@ -50,7 +50,7 @@
 
 // Run monitors the stream until ctx ends or the stream is lost. A separate
 // goroutine sends the messages, because a send on a dead connection may block.
-func (p *Pulse) Run(ctx context.Context, done chan<- struct{}) {
+func (p *Keepalive) Run(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	d := make(chan struct{})
 	t := p.Clock.NewTicker(p.Every)
@@ -76,7 +76,7 @@
 	}
 }
 
-func (p *Pulse) send(ctx context.Context, due <-chan struct{}, done chan<- struct{}) {
+func (p *Keepalive) send(ctx context.Context, due <-chan struct{}, done chan<- struct{}) {
 	defer close(done)
 	for {
 		select {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (p *Pulse) isSilent() bool {
+func (p *Keepalive) isSilent() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	d := p.First
--- a/pulse/pulse_test.go
+++ b/keepalive/keepalive_test.go
@@ -1,4 +1,4 @@
-package pulse
+package keepalive
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 // restarts with each message and excludes the time in which the reader is busy.
 func TestSilence(t *testing.T) {
 	c := clockwork.NewFakeClock()
-	p := &Pulse{Clock: c, First: time.Second, Silence: 3 * time.Second}
+	p := &Keepalive{Clock: c, First: time.Second, Silence: 3 * time.Second}
 	p.Wait()
 	c.Advance(999 * time.Millisecond)
 	must.False(t, p.isSilent())
@@ -37,7 +37,7 @@
 	c := clockwork.NewFakeClock()
 	x, f := context.WithCancel(t.Context())
 	sending := make(chan struct{}, 1)
-	p := &Pulse{
+	p := &Keepalive{
 		Clock: c, Every: time.Second, First: 2 * time.Second, Silence: 2 * time.Second, Lost: f,
 		Send: func() error {
 			sending <- struct{}{}
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -12,9 +12,9 @@
 
 	"celeryreach.example/celeryreach/commit"
 	"celeryreach.example/celeryreach/lease"
+	"celeryreach.example/celeryreach/memorytable"
 	"celeryreach.example/celeryreach/row"
 	"celeryreach.example/celeryreach/store"
-	"celeryreach.example/celeryreach/table"
 )
 
 const term = 8 * time.Second
@@ -23,7 +23,7 @@
 
 // rivals are processes that compete for one lease. Each has its own clock.
 type rivals struct {
-	table         table.Table
+	table         memorytable.Memorytable
 	leases        map[string]*rival
 	storeDown     bool
 	loseResponses bool
@@ -141,6 +141,6 @@
 // has version zero, which a commit could expect by mistake.
 func TestFenceWithoutLease(t *testing.T) {
 	l := &lease.Lease{Clock: clockwork.NewFakeClock(), Name: "planner", Term: term}
-	var b table.Table
+	var b memorytable.Memorytable
 	must.False(t, b.Commit(l.Fence(commit.Commit{Put: []row.Row{{Key: "plan"}}})))
 }
--- a/part/part.go
+++ b/limitpart/limitpart.go
@@ -1,10 +1,10 @@
 // Package part describes the part of one limit that one holder has.
-package part
+package limitpart
 
 import "celeryreach.example/celeryreach/span"
 
 // Part is what a division assigns to one holder.
-type Part struct {
+type Limitpart struct {
 	// Floor is the holder's share of the permanent part of its failure domain.
 	Floor []span.Span `json:",omitzero"`
 	// Leased is what the holder may use while other holders confirm the
--- a/slope/slope.go
+++ b/linearfit/linearfit.go
@@ -1,9 +1,9 @@
 // Package slope fits a straight line through measured costs. It serves to
 // extrapolate from sizes that fit on one machine to the target size.
-package slope
+package linearfit
 
 // Slope is the line cost = Base + Each·n, where n is the size.
-type Slope struct {
+type Linearfit struct {
 	// Base is the intercept, the cost at size zero.
 	Intercept float64
 	// Each is the gradient, the cost per unit of size.
@@ -15,7 +15,7 @@
 
 // New fits a line by least squares. It needs at least two different sizes. With a
 // single one, the line is constant at the mean cost.
-func New(sizes, costs []float64) Slope {
+func New(sizes, costs []float64) Linearfit {
 	x, y := mean(sizes), mean(costs)
 	var v, c, t float64
 	for i := range sizes {
@@ -24,9 +24,9 @@
 		t += (costs[i] - y) * (costs[i] - y)
 	}
 	if v == 0 {
-		return Slope{Intercept: y, RSquared: 1}
+		return Linearfit{Intercept: y, RSquared: 1}
 	}
-	s := Slope{Slope: c / v}
+	s := Linearfit{Slope: c / v}
 	s.Intercept = y - s.Slope*x
 	s.RSquared = 1
 	if t > 0 {
@@ -36,7 +36,7 @@
 }
 
 // At returns the estimated cost at size n, at least zero.
-func (s Slope) At(n float64) float64 {
+func (s Linearfit) At(n float64) float64 {
 	return max(0, s.Intercept+s.Slope*n)
 }
 
--- a/slope/slope_test.go
+++ b/linearfit/linearfit_test.go
@@ -1,4 +1,4 @@
-package slope_test
+package linearfit_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 	"pgregory.net/rapid"
 
-	"celeryreach.example/celeryreach/slope"
+	"celeryreach.example/celeryreach/linearfit"
 )
 
 // A fit through points on a line must return that line.
@@ -19,7 +19,7 @@
 		for _, v := range x {
 			y = append(y, b+e*v)
 		}
-		s := slope.New(x, y)
+		s := linearfit.New(x, y)
 		must.InDelta(t, b+e*1e6, s.At(1e6), 1e-3*(b+e*1e6)+1e-3)
 	})
 }
--- a/gauge/gauge.go
+++ b/loadstats/loadstats.go
@@ -1,5 +1,5 @@
 // Package gauge derives observations of load from the counts in hosts' heartbeats.
-package gauge
+package loadstats
 
 import (
 	"sync"
@@ -16,7 +16,7 @@
 
 // Gauge retains the heartbeats of a recent window. Slots and busy requests are counted
 // by the hosts themselves, not reported by backend servers.
-type Gauge struct {
+type Loadstats struct {
 	// Clock measures the age of heartbeats.
 	Clock clockwork.Clock
 	// Window is the period over which responses and failures are counted.
@@ -44,7 +44,7 @@
 
 // Note records a heartbeat of a peer or of this host. The heartbeat must not be
 // modified afterwards.
-func (g *Gauge) Record(h *wire.Heartbeat) {
+func (g *Loadstats) Record(h *wire.Heartbeat) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.hosts == nil {
@@ -67,7 +67,7 @@
 }
 
 // Observe returns one observation for each service and region.
-func (g *Gauge) Observe(services, regions []string) []observation.Observation {
+func (g *Loadstats) Observe(services, regions []string) []observation.Observation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := g.Clock.Now()
@@ -96,7 +96,7 @@
 
 // lookups returns the number of look-ups by a service's callers within the window, by
 // home region.
-func (g *Gauge) lookups(service string) map[string]float64 {
+func (g *Loadstats) lookups(service string) map[string]float64 {
 	r := make(map[string]float64)
 	for _, s := range g.hosts {
 		f := make(map[string]uint64)
@@ -115,7 +115,7 @@
 }
 
 // observe sums the counts of the hosts in a region for one service.
-func (g *Gauge) observe(service, region string) observation.Observation {
+func (g *Loadstats) observe(service, region string) observation.Observation {
 	o := observation.Observation{Service: service, Region: region}
 	var a, f, t uint64
 	for _, s := range g.hosts {
--- a/gauge/gauge_test.go
+++ b/loadstats/loadstats_test.go
@@ -1,4 +1,4 @@
-package gauge_test
+package loadstats_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/shoenig/test/must"
 
-	"celeryreach.example/celeryreach/gauge"
+	"celeryreach.example/celeryreach/loadstats"
 	"celeryreach.example/celeryreach/observation"
 	"celeryreach.example/celeryreach/wire"
 )
@@ -18,7 +18,7 @@
 // the last seconds, and no negative differences.
 func TestObserve(t *testing.T) {
 	c := clockwork.NewFakeClock()
-	g := &gauge.Gauge{Clock: c, Window: 10 * time.Second, Timeout: 9 * time.Second}
+	g := &loadstats.Loadstats{Clock: c, Window: 10 * time.Second, Timeout: 9 * time.Second}
 	note := func(n string, i, answers, failures uint64) {
 		g.Record(&wire.Heartbeat{
 			From:    &wire.Host{Name: n, Incarnation: i, Region: "lagos"},
--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -8,12 +8,12 @@
 	"sort"
 	"time"
 
-	"celeryreach.example/celeryreach/answer"
 	"celeryreach.example/celeryreach/codec"
+	"celeryreach.example/celeryreach/errorresponse"
+	"celeryreach.example/celeryreach/lookupanswer"
 	"celeryreach.example/celeryreach/member"
 	"celeryreach.example/celeryreach/outcome"
 	"celeryreach.example/celeryreach/plan"
-	"celeryreach.example/celeryreach/refusal"
 	"celeryreach.example/celeryreach/rendezvous"
 	"celeryreach.example/celeryreach/roster"
 	"celeryreach.example/celeryreach/route"
@@ -76,13 +76,13 @@
 		o = l.validate(q.Get("service"), q.Get("region"))
 	}
 	if o.Outcome != "" {
-		refusal.Write(w, o)
+		errorresponse.Write(w, o)
 		return
 	}
 	l.OnLookup(q.Get("service"), l.homeRegion(q.Get("region"), a))
 	r, o := l.Find(q.Get("account"), q.Get("service"), q.Get("region"), a)
 	if o.Outcome != "" {
-		refusal.Write(w, o)
+		errorresponse.Write(w, o)
 		return
 	}
 	b, err := codec.Marshal(r)
@@ -126,7 +126,7 @@
 
 // Find returns the entry hosts for a caller, or the outcome with the reason why
 // there are none. An empty region stands for the region nearest to the address.
-func (l *Lookup) Find(account, service, region string, a netip.Addr) (answer.Answer, outcome.Outcome) {
+func (l *Lookup) Find(account, service, region string, a netip.Addr) (lookupanswer.Lookupanswer, outcome.Outcome) {
 	b, _ := l.clientBlock(a)
 	h := l.homeRegion(region, a)
 	p := l.Plan()
@@ -135,11 +135,11 @@
 	if l.Lost(t) || l.MovedPoints(service, t) > 0 {
 		e, ok := l.failoverRegion(service, t, b, m)
 		if !ok {
-			return answer.Answer{}, l.refuseUntilMoved(t)
+			return lookupanswer.Lookupanswer{}, l.refuseUntilMoved(t)
 		}
 		t = e
 	}
-	r := answer.Answer{Region: t}
+	r := lookupanswer.Lookupanswer{Region: t}
 	k := l.rankHosts(account, t, b, m, p)
 	if len(k) == 0 {
 		// No host of the region is alive at the moment, but its hosts
--- a/answer/answer.go
+++ b/lookupanswer/lookupanswer.go
@@ -1,10 +1,10 @@
 // Package answer describes the response to a look-up of entry hosts.
-package answer
+package lookupanswer
 
 import "time"
 
 // Answer names the entry hosts that a caller should use.
-type Answer struct {
+type Lookupanswer struct {
 	// EntryHosts holds the addresses of the entry hosts for callers, best first.
 	EntryHosts []string
 	// TTL is how long the caller may cache the answer.
--- a/backendknobs/written_test.go
+++ b/lookupanswer/written_test.go
@@ -1,4 +1,4 @@
-package backendknobs
+package lookupanswer
 
 import (
 	"testing"
@@ -7,5 +7,5 @@
 )
 
 func TestWritten(t *testing.T) {
-	writtenform.Check(t, "knobs", new(Backendknobs))
+	writtenform.Check(t, "answer", new(Lookupanswer))
 }
--- a/why/why.go
+++ b/lookupexplanation/lookupexplanation.go
@@ -1,16 +1,16 @@
 // Package why describes the reasons for a look-up answer.
-package why
+package lookupexplanation
 
 import (
-	"celeryreach.example/celeryreach/answer"
+	"celeryreach.example/celeryreach/lookupanswer"
 	"celeryreach.example/celeryreach/outcome"
 	"celeryreach.example/celeryreach/segment"
 )
 
 // Why explains where a caller is steered, as seen by the host that answers.
-type Why struct {
+type Lookupexplanation struct {
 	// Answer is the answer to the caller.
-	Answer answer.Answer
+	Answer lookupanswer.Lookupanswer
 	// Refusal is the reason if the caller is refused.
 	Refusal outcome.Outcome `json:",omitzero"`
 	// Block is the caller's client block, empty if no block contains the
--- /dev/null
+++ b/lookupexplanation/written_test.go
@@ -0,0 +1,11 @@
+package lookupexplanation
+
+import (
+	"testing"
+
+	"celeryreach.example/celeryreach/writtenform"
+)
+
+func TestWritten(t *testing.T) {
+	writtenform.Check(t, "why", new(Lookupexplanation))
+}
--- a/measurement/measurement.go
+++ b/measurement/measurement.go
@@ -7,7 +7,7 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"celeryreach.example/celeryreach/slope"
+	"celeryreach.example/celeryreach/linearfit"
 )
 
 const (
@@ -32,14 +32,14 @@
 }
 
 // Run measures at all sizes and returns the line fitted through the results.
-func (p *Measurement) Run() slope.Slope {
+func (p *Measurement) Run() linearfit.Linearfit {
 	var x []float64
 	p.costs = nil
 	for _, n := range p.Sizes {
 		x = append(x, float64(n))
 		p.costs = append(p.costs, p.Measure(n))
 	}
-	return slope.New(x, p.costs)
+	return linearfit.New(x, p.costs)
 }
 
 // Costs returns the measured costs in the order of Sizes.
--- a/table/table.go
+++ b/memorytable/memorytable.go
@@ -1,5 +1,5 @@
 // Package table implements a transactional table in memory.
-package table
+package memorytable
 
 import (
 	"sort"
@@ -11,7 +11,7 @@
 )
 
 // Table simulates the platform's table service.
-type Table struct {
+type Memorytable struct {
 	mu     sync.Mutex
 	rows   map[string]row.Row
 	writes uint64
@@ -19,7 +19,7 @@
 }
 
 // Read returns a row; the Version of an absent row is zero.
-func (t *Table) Read(key string) row.Row {
+func (t *Memorytable) Read(key string) row.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reads++
@@ -31,7 +31,7 @@
 }
 
 // Scan returns the rows whose key starts with prefix, in key order.
-func (t *Table) Scan(prefix string) []row.Row {
+func (t *Memorytable) Scan(prefix string) []row.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reads++
@@ -47,7 +47,7 @@
 
 // Commit applies a transaction and reports whether its expected versions
 // matched.
-func (t *Table) Commit(c commit.Commit) bool {
+func (t *Memorytable) Commit(c commit.Commit) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.writes++
@@ -70,7 +70,7 @@
 }
 
 // Operations returns the number of reads and commits so far.
-func (t *Table) Operations() (reads, writes uint64) {
+func (t *Memorytable) Operations() (reads, writes uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.reads, t.writes
--- a/copier/copier.go
+++ b/mirrorsync/mirrorsync.go
@@ -1,6 +1,6 @@
 // Package copier fetches newer copies of the store's tables from other hosts,
 // for a host that cannot reach the store itself.
-package copier
+package mirrorsync
 
 import (
 	"context"
@@ -25,7 +25,7 @@
 
 // Copier compares the table versions that other hosts report with its own
 // copies.
-type Copier struct {
+type Mirrorsync struct {
 	// Clock bounds fetches.
 	Clock clockwork.Clock
 	// Log receives one line for each fetch that failed.
@@ -45,12 +45,12 @@
 }
 
 // New returns a Copier. Its fields must be set before Run is called.
-func New() *Copier {
-	return &Copier{jobs: make(chan fetchJob, maxPendingFetches)}
+func New() *Mirrorsync {
+	return &Mirrorsync{jobs: make(chan fetchJob, maxPendingFetches)}
 }
 
 // Versions returns the versions of the own copies, for heartbeats.
-func (c *Copier) Versions() []*wire.Version {
+func (c *Mirrorsync) Versions() []*wire.Version {
 	var r []*wire.Version
 	for _, m := range c.Mirrors {
 		v := &wire.Version{Kind: m.Name, Version: m.Version()}
@@ -64,7 +64,7 @@
 
 // Heard processes the versions that a host reports, and queues fetches of newer
 // ones. It never blocks.
-func (c *Copier) HandleVersions(address string, l []*wire.Version) {
+func (c *Mirrorsync) HandleVersions(address string, l []*wire.Version) {
 	for _, v := range l {
 		for _, m := range c.Mirrors {
 			if m.Name != v.GetKind() {
@@ -85,7 +85,7 @@
 }
 
 // Answer returns the copy that another host requests.
-func (c *Copier) Answer(f *wire.FetchRequest) *wire.FetchResponse {
+func (c *Mirrorsync) Answer(f *wire.FetchRequest) *wire.FetchResponse {
 	for _, m := range c.Mirrors {
 		if m.Name != f.GetKind() {
 			continue
@@ -100,7 +100,7 @@
 }
 
 // Run processes queued fetches until ctx ends.
-func (c *Copier) Run(ctx context.Context) error {
+func (c *Mirrorsync) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -111,7 +111,7 @@
 	}
 }
 
-func (c *Copier) fetch(ctx context.Context, w fetchJob) {
+func (c *Mirrorsync) fetch(ctx context.Context, w fetchJob) {
 	if !w.mirror.NeedsPeerCopy(w.version) {
 		return
 	}
--- a/operator/operator.go
+++ b/operatorapi/operatorapi.go
@@ -1,5 +1,5 @@
 // Package operator serves the HTTP interface for operators.
-package operator
+package operatorapi
 
 import (
 	"context"
@@ -12,16 +12,16 @@
 
 	"github.com/charmbracelet/log"
 
-	"celeryreach.example/celeryreach/change"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/config"
+	"celeryreach.example/celeryreach/configcommit"
+	"celeryreach.example/celeryreach/confighistory"
 	"celeryreach.example/celeryreach/credential"
-	"celeryreach.example/celeryreach/history"
+	"celeryreach.example/celeryreach/hostcounts"
+	"celeryreach.example/celeryreach/lookupexplanation"
 	"celeryreach.example/celeryreach/problem"
 	"celeryreach.example/celeryreach/snapshot"
 	"celeryreach.example/celeryreach/status"
-	"celeryreach.example/celeryreach/sums"
-	"celeryreach.example/celeryreach/why"
 )
 
 const (
@@ -30,30 +30,30 @@
 )
 
 // Operator is the HTTP handler of the operators' interface.
-type Operator struct {
+type Operatorapi struct {
 	// Log receives one line for each accepted change.
 	Log *log.Logger
 	// Snapshot returns the configuration in force, or nil if there is none yet.
 	Snapshot func() *snapshot.Snapshot
 	// History holds earlier configurations.
-	History *history.History
+	History *confighistory.Confighistory
 	// Change commits configurations.
-	Change *change.Change
+	Change *configcommit.Configcommit
 	// Check returns all mistakes in a configuration.
 	Validate func(c *config.Config) []string
 	// Status returns the state known to this host.
 	Status func(ctx context.Context) status.Status
 	// Sums returns this host's counts for the burn report.
-	Sums func() sums.Sums
+	Sums func() hostcounts.Hostcounts
 	// Kept returns the counts of processes that no longer run, as stored on the
 	// platform.
-	StoredSums func(ctx context.Context) ([]sums.Sums, error)
+	StoredSums func(ctx context.Context) ([]hostcounts.Hostcounts, error)
 	// Why explains the result of a look-up.
-	ExplainLookup func(account, service, region string, a netip.Addr) why.Why
+	ExplainLookup func(account, service, region string, a netip.Addr) lookupexplanation.Lookupexplanation
 }
 
 // ServeHTTP authenticates and serves one request.
-func (o *Operator) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (o *Operatorapi) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s := o.Snapshot()
 	if s == nil {
 		writeProblem(w, http.StatusServiceUnavailable, problem.NotConfigured, "this host has no configuration yet")
@@ -83,7 +83,7 @@
 	}
 }
 
-func (o *Operator) getConfig(w http.ResponseWriter, r *http.Request, s *snapshot.Snapshot) {
+func (o *Operatorapi) getConfig(w http.ResponseWriter, r *http.Request, s *snapshot.Snapshot) {
 	q := r.URL.Query().Get("version")
 	if q == "" {
 		writeJSON(w, http.StatusOK, s.Config)
@@ -102,7 +102,7 @@
 	writeJSON(w, http.StatusOK, c)
 }
 
-func (o *Operator) putConfig(w http.ResponseWriter, r *http.Request) {
+func (o *Operatorapi) putConfig(w http.ResponseWriter, r *http.Request) {
 	v, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		writeProblem(w, http.StatusBadRequest, problem.BadRequest, "from: must be the version that the change is based on")
@@ -127,7 +127,7 @@
 	o.commitConfig(w, r, v, c)
 }
 
-func (o *Operator) commitConfig(w http.ResponseWriter, r *http.Request, from uint64, c config.Config) {
+func (o *Operatorapi) commitConfig(w http.ResponseWriter, r *http.Request, from uint64, c config.Config) {
 	a, ok, err := o.Change.Commit(r.Context(), from, c)
 	switch {
 	case err != nil:
@@ -144,7 +144,7 @@
 	}
 }
 
-func (o *Operator) explainLookup(w http.ResponseWriter, r *http.Request) {
+func (o *Operatorapi) explainLookup(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	var a netip.Addr
 	if v := q.Get("address"); v != "" {
@@ -158,7 +158,7 @@
 	writeJSON(w, http.StatusOK, o.ExplainLookup(q.Get("account"), q.Get("service"), q.Get("region"), a))
 }
 
-func (o *Operator) keptSums(w http.ResponseWriter, r *http.Request) {
+func (o *Operatorapi) keptSums(w http.ResponseWriter, r *http.Request) {
 	k, err := o.StoredSums(r.Context())
 	if err != nil {
 		writeProblem(w, http.StatusBadGateway, problem.OutcomeUnknown, err.Error())
--- a/operatorclient/operatorclient.go
+++ b/operatorclient/operatorclient.go
@@ -11,7 +11,7 @@
 
 	"github.com/pkg/errors"
 
-	"celeryreach.example/celeryreach/accepted"
+	"celeryreach.example/celeryreach/acceptedversion"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/config"
 	"celeryreach.example/celeryreach/problem"
@@ -44,8 +44,8 @@
 
 // Change commits c as the successor of version from. A conflict or an invalid
 // configuration is returned as a *problem.Problem.
-func (o *Operatorclient) CommitConfig(ctx context.Context, from uint64, c *config.Config) (accepted.Accepted, error) {
-	var a accepted.Accepted
+func (o *Operatorclient) CommitConfig(ctx context.Context, from uint64, c *config.Config) (acceptedversion.Acceptedversion, error) {
+	var a acceptedversion.Acceptedversion
 	err := o.call(ctx, http.MethodPut, "/config?from="+strconv.FormatUint(from, 10), c, &a)
 	return a, err
 }
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -7,13 +7,13 @@
 
 	"github.com/jonboulle/clockwork"
 
+	"celeryreach.example/celeryreach/attempted"
 	"celeryreach.example/celeryreach/backend"
-	"celeryreach.example/celeryreach/coldpace"
+	"celeryreach.example/celeryreach/coldrate"
 	"celeryreach.example/celeryreach/placement"
 	"celeryreach.example/celeryreach/request"
 	"celeryreach.example/celeryreach/result"
 	"celeryreach.example/celeryreach/service"
-	"celeryreach.example/celeryreach/tried"
 )
 
 // BenchmarkPlacement measures Count, Take and Release of one request, by the number of
@@ -24,7 +24,7 @@
 			p := &placement.Placement{
 				Clock: clockwork.NewRealClock(), Region: "region-0", RemoteWeight: 0.15,
 				ColdCapacity: func(string) (float64, time.Duration) { return 10, 3 * time.Second },
-				ColdRate:     &coldpace.Coldpace{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 2, Slack: 5},
+				ColdRate:     &coldrate.Coldrate{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 2, Slack: 5},
 			}
 			var l []backend.Backend
 			for i := range n {
@@ -36,7 +36,7 @@
 			for i := range b.N {
 				r := &request.Request{
 					ID: fmt.Sprint(i), Object: fmt.Sprint(i % 200), Route: "view",
-					Service: service.Service{Name: "listings"}, Tried: new(tried.Tried),
+					Service: service.Service{Name: "listings"}, Tried: new(attempted.Attempted),
 				}
 				p.CountArrival(r)
 				if v, ok, _ := p.Take(r); ok {
