--- a/accepted/written_test.go
+++ b/acceptedversion/written_test.go
@@ -1,4 +1,4 @@
-package accepted
+package acceptedversion
 
 import (
 	"testing"
@@ -9,13 +9,13 @@
 )
 
 func TestWritten(t *testing.T) {
-	writtenform.Check(t, "accepted", new(Accepted))
+	writtenform.Check(t, "accepted", new(Acceptedversion))
 }
 
 func TestTexts(t *testing.T) {
 	must.Eq(t, []string{
 		"config", "plan", "blocks", "config/hash",
 	}, []string{
-		RowKey, PlanKey, BlocksKey, ObjectName(RowKey, "hash"),
+		ConfigKey, PlanKey, BlocksKey, ObjectName(ConfigKey, "hash"),
 	})
 }
--- a/backendlimit/report.go
+++ b/backendlimit/report.go
@@ -11,10 +11,10 @@
 // reportFor is how long after a response its limit is reported to other hosts.
 const reportFor = 10 * time.Second
 
-// Tell returns the limits that this host itself recently observed, for heartbeats.
-// Limits received from other hosts are left out: if passed on, an old observation would
-// always seem recent.
-func (l *Backendlimit) Tell() []*wire.BackendLimit {
+// Observations returns the limits that this host itself recently observed, for
+// heartbeats. Limits received from other hosts are left out: if passed on, an old
+// observation would always seem recent.
+func (l *Backendlimit) Observations() []*wire.BackendLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var r []*wire.BackendLimit
@@ -36,8 +36,8 @@
 	return r
 }
 
-// Hear applies the limits that another host observed.
-func (l *Backendlimit) Hear(from string, v []*wire.BackendLimit) {
+// Merge applies the limits that another host observed.
+func (l *Backendlimit) Merge(from string, v []*wire.BackendLimit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := l.Clock.Now()
--- a/backendtrial/backendtrial.go
+++ b/backendsimulation/backendsimulation.go
@@ -1,6 +1,6 @@
-// Package backendtrial simulates the backend servers of a service while one of
+// Package backendsimulation simulates the backend servers of a service while one of
 // them is faulty, and compares balancers on the same requests.
-package backendtrial
+package backendsimulation
 
 import (
 	"context"
@@ -36,16 +36,16 @@
 	cancelDelay = 4 * time.Millisecond
 )
 
-// Backendtrial is one simulation run.
-type Backendtrial struct {
+// Backendsimulation is one simulation run.
+type Backendsimulation struct {
 	// Seed makes the run repeatable.
 	Seed uint64
 	// For is the simulated time; the fault begins at 5 s.
 	For time.Duration
-	// Trouble is the kind of fault, one of Troubles.
-	Trouble string
-	// First selects the balancer of the first version, the baseline.
-	First bool
+	// Fault is the kind of fault, one of Faults.
+	Fault string
+	// Baseline selects the balancer of the first version, the baseline.
+	Baseline bool
 
 	timeline *timeline.Timeline
 	random   *rand.Rand
@@ -68,13 +68,13 @@
 	latencies     []time.Duration
 }
 
-// Troubles returns the kinds of faults.
-func Troubles() []string {
+// Faults returns the kinds of faults.
+func Faults() []string {
 	return []string{"none", "fails fast", "slow", "refuses", "leaves", "cold", "callers cancel", "health lies"}
 }
 
 // Run runs the simulation and returns a line of a report.
-func (b *Backendtrial) Run() string {
+func (b *Backendsimulation) Run() string {
 	b.timeline = timeline.New()
 	b.random = rand.New(rand.NewPCG(b.Seed, 0))
 	b.running = make([]int, backendCount)
@@ -96,51 +96,51 @@
 	return b.report()
 }
 
-func (b *Backendtrial) build() {
+func (b *Backendsimulation) build() {
 	for i := range backendCount {
 		b.backends = append(b.backends, backend.Backend{Name: fmt.Sprint(i), Slots: slotsPerBackend, WarmUp: 8 * time.Second, Health: "/health"})
 	}
-	if b.Trouble == "cold" {
+	if b.Fault == "cold" {
 		b.backends = b.backends[1:] // the first one is added when the fault begins
 	}
 	b.balancer = &balancer.Balancer{
-		Clock: b.timeline.Clock, Backends: func() []backend.Backend { return b.backends }, Released: func() {},
+		Clock: b.timeline.Clock, Backends: func() []backend.Backend { return b.backends }, OnReleased: func() {},
 		Slots: func(v backend.Backend) int { return v.Slots }, Random: b.random.IntN,
 	}
 	b.acquire = b.balancer.Acquire
-	if b.First {
+	if b.Baseline {
 		b.acquire = b.baseline()
 	}
-	b.queue = &queue.Queue{Clock: b.timeline.Clock, Acquire: b.acquire, Limit: 10_000, Patience: 100 * time.Millisecond}
+	b.queue = &queue.Queue{Clock: b.timeline.Clock, Acquire: b.acquire, Limit: 10_000, NewestFirstAfter: 100 * time.Millisecond}
 }
 
-func (b *Backendtrial) injectFault() {
-	if b.Trouble == "cold" {
+func (b *Backendsimulation) injectFault() {
+	if b.Fault == "cold" {
 		b.backends = append([]backend.Backend{{Name: "0", Slots: slotsPerBackend, WarmUp: 8 * time.Second, Health: "/health"}}, b.backends...)
 	}
 }
 
 // probe simulates the health endpoints, which report the real state except for
 // the fault "health lies".
-func (b *Backendtrial) probe() {
-	for _, v := range b.balancer.Suspects() {
-		a := v.Name == "0" && b.faulty() && (b.Trouble == "refuses" || b.Trouble == "fails fast")
-		h := health.Health{Reached: !a || b.Trouble != "refuses", Healthy: !a}
-		if b.Trouble == "health lies" {
+func (b *Backendsimulation) probe() {
+	for _, v := range b.balancer.ProbeTargets() {
+		a := v.Name == "0" && b.faulty() && (b.Fault == "refuses" || b.Fault == "fails fast")
+		h := health.Health{Reached: !a || b.Fault != "refuses", Healthy: !a}
+		if b.Fault == "health lies" {
 			h = health.Health{Reached: true, Report: loadreport.Loadreport{Draining: true}}
 		}
-		b.balancer.Probed(v.Name, h)
+		b.balancer.HandleProbe(v.Name, h)
 	}
 }
 
-func (b *Backendtrial) faulty() bool {
+func (b *Backendsimulation) faulty() bool {
 	return b.timeline.Now() >= faultBegins
 }
 
 // arrive adds a request to the queue and polls for its decision.
-func (b *Backendtrial) arrive(at, w time.Duration, cancels bool) {
+func (b *Backendsimulation) arrive(at, w time.Duration, cancels bool) {
 	b.counts.sent++
-	d, _ := b.queue.Enter(context.Background(), "a", maxWait)
+	d, _ := b.queue.Enqueue(context.Background(), "a", maxWait)
 	var look func()
 	look = func() {
 		s, o, ok := d()
@@ -157,7 +157,7 @@
 }
 
 // start runs a request on the backend server of s.
-func (b *Backendtrial) start(at, w time.Duration, cancels bool, s slot.Slot) {
+func (b *Backendsimulation) start(at, w time.Duration, cancels bool, s slot.Slot) {
 	n := s.Backend.Name
 	i := 0
 	_, _ = fmt.Sscan(n, &i)
@@ -165,7 +165,7 @@
 	if a && b.timeline.Now() >= faultBegins+recoveryTime {
 		b.counts.afterRecovery++
 	}
-	if a && b.Trouble == "refuses" {
+	if a && b.Fault == "refuses" {
 		b.end(at, time.Millisecond, s, result.Refused, http.StatusOK)
 		return
 	}
@@ -186,16 +186,16 @@
 
 // serve returns the duration, the result and the status of a request that would
 // take w without a fault.
-func (b *Backendtrial) serve(bad bool, w time.Duration, cancels bool) (time.Duration, result.Result, int) {
+func (b *Backendsimulation) serve(bad bool, w time.Duration, cancels bool) (time.Duration, result.Result, int) {
 	switch {
-	case bad && b.Trouble == "fails fast":
+	case bad && b.Fault == "fails fast":
 		return time.Millisecond, result.Succeeded, http.StatusInternalServerError
-	case bad && b.Trouble == "slow":
+	case bad && b.Fault == "slow":
 		return 10 * w, result.Succeeded, http.StatusOK
-	case bad && b.Trouble == "cold":
+	case bad && b.Fault == "cold":
 		t := (b.timeline.Now() - faultBegins).Seconds()
 		return time.Duration(float64(w) * (1 + 9*max(0, 1-t/8))), result.Succeeded, http.StatusOK
-	case cancels && b.Trouble == "callers cancel":
+	case cancels && b.Fault == "callers cancel":
 		return w / 2, result.Canceled, http.StatusOK
 	default:
 		return w, result.Succeeded, http.StatusOK
@@ -203,11 +203,11 @@
 }
 
 // end records the answer and releases the slot after the time w.
-func (b *Backendtrial) end(at, w time.Duration, s slot.Slot, r result.Result, status int) {
+func (b *Backendsimulation) end(at, w time.Duration, s slot.Slot, r result.Result, status int) {
 	b.timeline.At(b.timeline.Now()+w, func() {
 		if r == result.Succeeded {
 			h := http.Header{}
-			if b.Trouble == "leaves" && s.Backend.Name == "0" && b.faulty() {
+			if b.Fault == "leaves" && s.Backend.Name == "0" && b.faulty() {
 				h.Set(loadreport.DrainingHeader, "yes")
 			}
 			s.Answered(status, h)
@@ -224,7 +224,7 @@
 	})
 }
 
-func (b *Backendtrial) report() string {
+func (b *Backendsimulation) report() string {
 	t := &b.counts
 	slices.Sort(t.latencies)
 	q := func(f float64) time.Duration {
--- a/backendstandin/backendstandin.go
+++ b/backendstandin/backendstandin.go
@@ -17,16 +17,16 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"celeryreach.example/celeryreach/backendknobs"
+	"celeryreach.example/celeryreach/backendfaults"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/loadreport"
+	"celeryreach.example/celeryreach/responsecopier"
 	"celeryreach.example/celeryreach/upstream"
-	"celeryreach.example/celeryreach/whole"
 )
 
-// JudgeHeader identifies one attempt of a caller, so that the runs of repeated
+// AttemptHeader identifies one attempt of a caller, so that the runs of repeated
 // attempts can be counted separately.
-const JudgeHeader = "X-Judge-Id"
+const AttemptHeader = "X-Judge-Id"
 
 const (
 	coldFactor    = 10
@@ -43,22 +43,22 @@
 	Name string
 	// Slots is how many requests run concurrently.
 	Slots int
-	// Work is how long a request runs on a warm backend server.
-	Work time.Duration
+	// RequestDuration is how long a request runs on a warm backend server.
+	RequestDuration time.Duration
 	// ColdFor is how long the backend server stays cold after its first
 	// request. While it is cold, a request takes twice as long.
 	ColdFor time.Duration
 
 	busy       atomic.Int64
 	mu         sync.Mutex
-	knobs      backendknobs.Backendknobs
+	knobs      backendfaults.Backendfaults
 	firstRunAt time.Time
 	runs       map[string]int
 	received   []string
 }
 
-// Set changes the injected faults.
-func (b *Backendstandin) Set(k backendknobs.Backendknobs) {
+// SetFaults changes the injected faults.
+func (b *Backendstandin) SetFaults(k backendfaults.Backendfaults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.knobs = k
@@ -86,7 +86,7 @@
 		w.Header().Set(loadreport.DrainingHeader, "yes")
 	}
 	if n > int64(b.Slots) || k.Shed || k.Drain {
-		w.Header().Set(whole.NotRunHeader, "shed")
+		w.Header().Set(responsecopier.NotRunHeader, "shed")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -114,7 +114,7 @@
 // writeRuns writes the number of runs by id, for tests that run the backend
 // stand-in as a separate process.
 func (b *Backendstandin) writeRuns(w http.ResponseWriter) {
-	v, err := codec.Marshal(b.Runs())
+	v, err := codec.Marshal(b.RunCounts())
 	if err != nil {
 		panic(err) // a map of counts can always be marshaled
 	}
@@ -126,30 +126,30 @@
 	return int(b.busy.Load())
 }
 
-// Runs returns how often each id was run.
-func (b *Backendstandin) Runs() map[string]int {
+// RunCounts returns how often each id was run.
+func (b *Backendstandin) RunCounts() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return maps.Clone(b.runs)
 }
 
-// Seen returns the method, target and header values of the first 1000 recorded
-// requests, so that a test can check that no key was forwarded.
-func (b *Backendstandin) Seen() []string {
+// ReceivedValues returns the method, target and header values of the first 1000
+// recorded requests, so that a test can check that no key was forwarded.
+func (b *Backendstandin) ReceivedValues() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]string(nil), b.received...)
 }
 
-// Body returns the response body for a request. It names the request, so that a
+// ResponseBody returns the response body for a request. It names the request, so that a
 // caller can check that the response belongs to the request and is complete.
-func Body(name, method, target, digest string, n int) string {
+func ResponseBody(name, method, target, digest string, n int) string {
 	s := fmt.Sprintf("%s %s %s %s\n", name, method, target, digest)
 	return s + strings.Repeat("-", max(0, n-len(s)-1)) + "."
 }
 
-func (b *Backendstandin) writeResponse(w http.ResponseWriter, r *http.Request, k backendknobs.Backendknobs, digest string) {
-	a := Body(b.Name, r.Method, r.URL.RequestURI(), digest, k.Bytes)
+func (b *Backendstandin) writeResponse(w http.ResponseWriter, r *http.Request, k backendfaults.Backendfaults, digest string) {
+	a := ResponseBody(b.Name, r.Method, r.URL.RequestURI(), digest, k.Bytes)
 	switch {
 	case k.Mute:
 		<-r.Context().Done()
@@ -190,12 +190,12 @@
 	if err != nil {
 		return
 	}
-	var k backendknobs.Backendknobs
+	var k backendfaults.Backendfaults
 	if err := codec.Unmarshal(a, &k); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	b.Set(k)
+	b.SetFaults(k)
 }
 
 func (b *Backendstandin) writeHealth(w http.ResponseWriter) {
@@ -214,21 +214,21 @@
 
 // takeKnobs returns the faults for one request and counts down the limited
 // number of faulty requests.
-func (b *Backendstandin) takeKnobs() backendknobs.Backendknobs {
+func (b *Backendstandin) takeKnobs() backendfaults.Backendfaults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.knobs
 	if k.First > 0 {
 		b.knobs.First--
 		if b.knobs.First == 0 {
-			b.knobs = backendknobs.Backendknobs{Bytes: k.Bytes}
+			b.knobs = backendfaults.Backendfaults{Bytes: k.Bytes}
 		}
 	}
 	return k
 }
 
 func (b *Backendstandin) recordRun(r *http.Request) {
-	k := r.Header.Get(JudgeHeader)
+	k := r.Header.Get(AttemptHeader)
 	if k == "" {
 		k = r.Header.Get("Idempotency-Key")
 	}
@@ -250,14 +250,14 @@
 	}
 }
 
-func (b *Backendstandin) workDuration(k backendknobs.Backendknobs) time.Duration {
+func (b *Backendstandin) workDuration(k backendfaults.Backendfaults) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if k.Cold {
-		return coldFactor * b.Work
+		return coldFactor * b.RequestDuration
 	}
 	if b.Clock.Since(b.firstRunAt) < b.ColdFor {
-		return 2 * b.Work
+		return 2 * b.RequestDuration
 	}
-	return b.Work
+	return b.RequestDuration
 }
--- a/burn/burn_test.go
+++ b/burncounter/burncounter_test.go
@@ -1,4 +1,4 @@
-package burn_test
+package burncounter_test
 
 import (
 	"fmt"
@@ -8,23 +8,23 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/shoenig/test/must"
 
-	"celeryreach.example/celeryreach/burn"
+	"celeryreach.example/celeryreach/burncounter"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/member"
 	"celeryreach.example/celeryreach/outcome"
-	"celeryreach.example/celeryreach/tally"
+	"celeryreach.example/celeryreach/requestcounts"
 	"celeryreach.example/celeryreach/wire"
 )
 
-func newBurn(c clockwork.Clock) *burn.Burn {
-	return &burn.Burn{
+func newBurn(c clockwork.Clock) *burncounter.Burncounter {
+	return &burncounter.Burncounter{
 		Clock: c, Self: member.Member{Name: "h", Region: "north"},
-		Latency: func(string) time.Duration { return 100 * time.Millisecond },
-		Loads:   func() []*wire.Load { return []*wire.Load{{Service: "s", Slots: 4, Busy: 1}} },
+		Latency:   func(string) time.Duration { return 100 * time.Millisecond },
+		SlotLoads: func() []*wire.Load { return []*wire.Load{{Service: "s", Slots: 4, Busy: 1}} },
 	}
 }
 
-// Each request is counted in exactly one field of the tally. Only requests that
+// Each request is counted in exactly one field of Requestcounts. Only requests that
 // spent a token and did not get it back count as admitted against the rate.
 func TestRecordCountsOutcomes(t *testing.T) {
 	c := clockwork.NewFakeClockAt(time.Unix(6000, 0))
@@ -47,7 +47,7 @@
 	}
 	b.Record("", "", outcome.Outcome{Outcome: outcome.KeyUnknown, Ran: outcome.RanNo}, 0)
 	s := b.Sums()
-	must.Eq(t, []tally.Tally{{
+	must.Eq(t, []requestcounts.Requestcounts{{
 		Minute: 100, Account: "a", Service: "s", Answered: 2, Timely: 1, Left: 1, Failed: 2, Inside: 2, OverRate: 1, Mistaken: 1,
 	}}, s.Tallies)
 	must.Len(t, 1, s.Seconds)
--- a/sample/written_test.go
+++ b/callersim/written_test.go
@@ -1,4 +1,4 @@
-package sample
+package callersim
 
 import (
 	"testing"
@@ -10,6 +10,6 @@
 	must.Eq(t, []string{
 		"NotRun.",
 	}, []string{
-		NotRun,
+		NotRunPrefix,
 	})
 }
--- a/certs/certs_test.go
+++ b/certreloader/certreloader_test.go
@@ -1,4 +1,4 @@
-package certs_test
+package certreloader_test
 
 import (
 	"context"
@@ -15,27 +15,27 @@
 	"github.com/shoenig/test/must"
 
 	"celeryreach.example/celeryreach/certificate"
-	"celeryreach.example/celeryreach/certs"
-	"celeryreach.example/celeryreach/testcerts"
+	"celeryreach.example/celeryreach/certreloader"
+	"celeryreach.example/celeryreach/testca"
 )
 
-func newAuthority(t *testing.T) *testcerts.Testcerts {
+func newAuthority(t *testing.T) *testca.Testca {
 	t.Helper()
-	a, err := testcerts.New()
+	a, err := testca.New()
 	must.NoError(t, err)
 	return a
 }
 
-func write(t *testing.T, a *testcerts.Testcerts, dir string) certificate.Certificate {
+func write(t *testing.T, a *testca.Testca, dir string) certificate.Certificate {
 	t.Helper()
 	f, err := a.Write(dir)
 	must.NoError(t, err)
 	return f
 }
 
-func load(t *testing.T, c clockwork.Clock, f certificate.Certificate) *certs.Certs {
+func load(t *testing.T, c clockwork.Clock, f certificate.Certificate) *certreloader.Certreloader {
 	t.Helper()
-	r := &certs.Certs{Clock: c, Log: log.New(io.Discard), Certificate: f}
+	r := &certreloader.Certreloader{Clock: c, Log: log.New(io.Discard), Certificate: f}
 	must.NoError(t, r.Load())
 	return r
 }
@@ -85,22 +85,22 @@
 	a, b := newAuthority(t), newAuthority(t)
 	h := load(t, c, write(t, a, t.TempDir()))
 	s := load(t, c, write(t, b, t.TempDir()))
-	_, e, f := handshake(t, h.Mutual(), h.Client("127.0.0.1"))
+	_, e, f := handshake(t, h.MutualConfig(), h.ClientConfig("127.0.0.1"))
 	must.NoError(t, e)
 	must.NoError(t, f)
-	bare := h.Client("127.0.0.1")
+	bare := h.ClientConfig("127.0.0.1")
 	bare.Certificates = nil
-	_, e, f = handshake(t, h.Mutual(), bare)
+	_, e, f = handshake(t, h.MutualConfig(), bare)
 	must.Error(t, e)
 	must.Error(t, f)
-	forged := s.Client("127.0.0.1")
+	forged := s.ClientConfig("127.0.0.1")
 	forged.RootCAs = bare.RootCAs
-	_, e, f = handshake(t, h.Mutual(), forged)
+	_, e, f = handshake(t, h.MutualConfig(), forged)
 	must.Error(t, e)
 	must.Error(t, f)
-	_, _, f = handshake(t, s.Mutual(), h.Client("127.0.0.1"))
+	_, _, f = handshake(t, s.MutualConfig(), h.ClientConfig("127.0.0.1"))
 	must.Error(t, f)
-	_, _, f = handshake(t, h.Mutual(), h.Client("127.0.0.2"))
+	_, _, f = handshake(t, h.MutualConfig(), h.ClientConfig("127.0.0.2"))
 	must.Error(t, f)
 }
 
@@ -112,17 +112,17 @@
 	a := newAuthority(t)
 	d := t.TempDir()
 	h := load(t, c, write(t, a, d))
-	one, _, err := handshake(t, h.Server(), h.Client("127.0.0.1"))
+	one, _, err := handshake(t, h.ServerConfig(), h.ClientConfig("127.0.0.1"))
 	must.NoError(t, err)
 	other := write(t, a, t.TempDir())
 	copyFile(t, other.File, filepath.Join(d, "host.pem"))
 	c.Advance(time.Minute)
-	two, _, err := handshake(t, h.Server(), h.Client("127.0.0.1"))
+	two, _, err := handshake(t, h.ServerConfig(), h.ClientConfig("127.0.0.1"))
 	must.NoError(t, err)
 	must.Eq(t, one, two)
 	copyFile(t, other.KeyFile, filepath.Join(d, "key.pem"))
 	c.Advance(time.Minute)
-	three, _, err := handshake(t, h.Server(), h.Client("127.0.0.1"))
+	three, _, err := handshake(t, h.ServerConfig(), h.ClientConfig("127.0.0.1"))
 	must.NoError(t, err)
 	must.NotEq(t, one, three)
 }
--- a/cmd/connection.go
+++ b/cmd/connection.go
@@ -12,10 +12,10 @@
 	"github.com/pkg/errors"
 	"github.com/urfave/cli/v3"
 
-	"celeryreach.example/celeryreach/accepted"
-	"celeryreach.example/celeryreach/change"
+	"celeryreach.example/celeryreach/acceptedversion"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/config"
+	"celeryreach.example/celeryreach/configcommit"
 	"celeryreach.example/celeryreach/operatorclient"
 	"celeryreach.example/celeryreach/platformclient"
 	"celeryreach.example/celeryreach/problem"
@@ -42,7 +42,7 @@
 	transport   *http.Transport
 	load        func(ctx context.Context) (*config.Config, error)
 	loadVersion func(ctx context.Context, version uint64) (*config.Config, error)
-	commit      func(ctx context.Context, from uint64, c *config.Config) (accepted.Accepted, error)
+	commit      func(ctx context.Context, from uint64, c *config.Config) (acceptedversion.Acceptedversion, error)
 }
 
 func connectionFlags() []cli.Flag {
@@ -66,7 +66,7 @@
 	n := &connection{transport: t}
 	if u := c.String("platform"); u != "" {
 		p := &platformclient.Platformclient{URL: u, Timeout: callTimeout}
-		n.usePlatform(p.Platform())
+		n.usePlatform(p.Store())
 		return n, nil
 	}
 	k, err := m.operatorKey(c)
@@ -78,7 +78,7 @@
 		return nil, &exitError{code: exitUsage, text: "a host and an operator's key are needed: set " + operatorVariable + " and " + keyVariable}
 	}
 	n.client = &operatorclient.Operatorclient{URL: strings.TrimSuffix(u, "/"), Key: k, Timeout: callTimeout, Transport: t}
-	n.load, n.loadVersion, n.commit = n.client.Config, n.client.Former, n.client.Change
+	n.load, n.loadVersion, n.commit = n.client.Config, n.client.ConfigVersion, n.client.CommitConfig
 	return n, nil
 }
 
@@ -136,11 +136,11 @@
 	n.loadVersion = func(context.Context, uint64) (*config.Config, error) {
 		return nil, errors.New("only the newest version can be loaded from the platform")
 	}
-	n.commit = func(ctx context.Context, from uint64, c *config.Config) (accepted.Accepted, error) {
+	n.commit = func(ctx context.Context, from uint64, c *config.Config) (acceptedversion.Acceptedversion, error) {
 		if e := validate.Config(c); len(e) > 0 {
-			return accepted.Accepted{}, &problem.Problem{Problem: problem.Mistaken, Message: "nothing was changed", Mistakes: e}
+			return acceptedversion.Acceptedversion{}, &problem.Problem{Problem: problem.InvalidConfig, Message: "nothing was changed", Mistakes: e}
 		}
-		a, ok, err := (&change.Change{Platform: p}).Commit(ctx, from, *c)
+		a, ok, err := (&configcommit.Configcommit{Platform: p}).Commit(ctx, from, *c)
 		if err == nil && !ok {
 			err = &problem.Problem{Problem: problem.Conflict, Message: "the accepted version is another one; nothing was changed", Accepted: a}
 		}
@@ -150,18 +150,18 @@
 
 // loadFromPlatform reads the accepted configuration from the platform.
 func loadFromPlatform(ctx context.Context, p store.Store) (*config.Config, error) {
-	r, err := p.Read(ctx, accepted.RowKey)
+	r, err := p.Read(ctx, acceptedversion.ConfigKey)
 	if err != nil {
 		return nil, err
 	}
 	if r.Version == 0 {
 		return nil, errors.New("the platform has no configuration; see config init")
 	}
-	var a accepted.Accepted
+	var a acceptedversion.Acceptedversion
 	if err := codec.Unmarshal(r.Value, &a); err != nil {
 		return nil, errors.Wrap(err, "accepted version")
 	}
-	b, err := p.GetObject(ctx, accepted.ObjectName(accepted.RowKey, a.Hash))
+	b, err := p.GetObject(ctx, acceptedversion.ObjectName(acceptedversion.ConfigKey, a.Hash))
 	if err != nil {
 		return nil, err
 	}
--- a/group/group.go
+++ b/commitbatch/commitbatch.go
@@ -1,5 +1,5 @@
-// Package group batches conditional row writes into one commit.
-package group
+// Package commitbatch batches conditional row writes into one commit.
+package commitbatch
 
 import (
 	"context"
@@ -13,20 +13,20 @@
 	"celeryreach.example/celeryreach/row"
 )
 
-// Group batches the writes of a host that arrive close together. The platform
+// Commitbatch batches the writes of a host that arrive close together. The platform
 // accepts a few hundred commits per second from all hosts in total, regardless
 // of the number of rows in each. One commit per request would exceed that.
-type Group struct {
+type Commitbatch struct {
 	// Clock paces the commits.
 	Clock clockwork.Clock
 	// Commit applies one transaction.
 	Commit func(ctx context.Context, c commit.Commit) (bool, error)
-	// Gap is the minimum time between the starts of two commits. A write after
+	// MinInterval is the minimum time between the starts of two commits. A write after
 	// an idle period is committed at once, and a host never makes more than
-	// 1/Gap commits per second.
-	Gap time.Duration
-	// Limit is the maximum number of rows in a commit.
-	Limit int
+	// 1/MinInterval commits per second.
+	MinInterval time.Duration
+	// MaxRows is the maximum number of rows in a commit.
+	MaxRows int
 	// Timeout bounds each commit.
 	Timeout time.Duration
 
@@ -48,7 +48,7 @@
 // rows that have no other writer. It returns false if a row of the commit, not
 // necessarily r, had another version. After an error the outcome is unknown.
 // The end of ctx does not cancel the write.
-func (g *Group) Write(ctx context.Context, r row.Row, index ...row.Row) (bool, error) {
+func (g *Commitbatch) Write(ctx context.Context, r row.Row, index ...row.Row) (bool, error) {
 	b := g.join(ctx, r, index)
 	select {
 	case <-b.done:
@@ -59,7 +59,7 @@
 }
 
 // join adds a write to the open batch, and starts a new batch if none is open.
-func (g *Group) join(ctx context.Context, r row.Row, index []row.Row) *batch {
+func (g *Commitbatch) join(ctx context.Context, r row.Row, index []row.Row) *batch {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	b := g.openBatch
@@ -67,7 +67,7 @@
 		b = &batch{done: make(chan struct{})}
 		g.openBatch = b
 		n := g.Clock.Now()
-		t := g.lastStart.Add(g.Gap)
+		t := g.lastStart.Add(g.MinInterval)
 		if t.Before(n) {
 			t = n
 		}
@@ -78,14 +78,14 @@
 	b.commit.Expect = append(b.commit.Expect, row.Row{Key: r.Key, Version: r.Version})
 	b.commit.Put = append(b.commit.Put, row.Row{Key: r.Key, Value: r.Value})
 	b.commit.Put = append(b.commit.Put, index...)
-	if len(b.commit.Put) >= g.Limit {
+	if len(b.commit.Put) >= g.MaxRows {
 		g.openBatch = nil
 	}
 	return b
 }
 
 // run closes the batch to further writes after wait, and commits it.
-func (g *Group) run(ctx context.Context, b *batch, wait time.Duration) {
+func (g *Commitbatch) run(ctx context.Context, b *batch, wait time.Duration) {
 	defer close(b.done)
 	if wait > 0 {
 		<-g.Clock.After(wait)
--- a/demand/demand.go
+++ b/demand/demand.go
@@ -29,8 +29,8 @@
 	rates map[string]float64
 }
 
-// Note stores the report of a host: requests per second by account.
-func (d *Demand) Note(host string, rates map[string]float64) {
+// Record stores the report of a host: requests per second by account.
+func (d *Demand) Record(host string, rates map[string]float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.reports == nil {
@@ -65,8 +65,8 @@
 	return r
 }
 
-// Of returns the newest report of a host.
-func (d *Demand) Of(host string) map[string]float64 {
+// ForHost returns the newest report of a host.
+func (d *Demand) ForHost(host string) map[string]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.reports[host].rates
--- a/division/division.go
+++ b/division/division.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"celeryreach.example/celeryreach/holder"
-	"celeryreach.example/celeryreach/part"
+	"celeryreach.example/celeryreach/limitpart"
 	"celeryreach.example/celeryreach/span"
 )
 
@@ -35,7 +35,7 @@
 	// rate, and one host of each failure domain has the entire floor of that
 	// domain. Splitting a small burst further would leave holders with less than
 	// one token, which no request can use.
-	Parts map[string]map[string]part.Part
+	Parts map[string]map[string]limitpart.Limitpart
 	// FloorSpans are the floors of each failure domain, the same for every rate.
 	FloorSpans map[string][]span.Span
 	// LeasedSpans is the leased remainder of every rate.
@@ -59,21 +59,21 @@
 }
 
 // Part returns the part of a limit that h holds.
-func (d *Division) Part(limit string, h holder.Holder) part.Part {
-	if !d.Names(h) {
-		return part.Part{}
+func (d *Division) Part(limit string, h holder.Holder) limitpart.Limitpart {
+	if !d.Includes(h) {
+		return limitpart.Limitpart{}
 	}
 	if p, ok := d.Parts[limit]; ok {
 		return p[h.Name]
 	}
 	if !strings.HasPrefix(limit, RatePrefix) {
-		return part.Part{}
+		return limitpart.Limitpart{}
 	}
-	var p part.Part
-	if d.Chief(limit, h.Domain) == h.Name {
+	var p limitpart.Limitpart
+	if d.DefaultHolder(limit, h.Domain) == h.Name {
 		p.Floor = d.FloorSpans[h.Domain]
 	}
-	if d.Chief(limit, "") == h.Name {
+	if d.DefaultHolder(limit, "") == h.Name {
 		p.Leased = d.LeasedSpans
 	}
 	return p
@@ -92,10 +92,10 @@
 	return r
 }
 
-// Chief returns the name of the holder that rendezvous hashing chooses for a
+// DefaultHolder returns the name of the holder that rendezvous hashing chooses for a
 // limit. The candidates are the processes of a failure domain, the silent ones
 // included, or, if domain is empty, all that hold leased parts.
-func (d *Division) Chief(limit, domain string) string {
+func (d *Division) DefaultHolder(limit, domain string) string {
 	n, m := "", uint64(0)
 	for i := range len(d.Holders) + len(d.Silent) {
 		var h holder.Holder
@@ -126,13 +126,13 @@
 	return x ^ x>>33
 }
 
-// Names reports whether h holds parts in this division.
-func (d *Division) Names(h holder.Holder) bool {
+// Includes reports whether h holds parts in this division.
+func (d *Division) Includes(h holder.Holder) bool {
 	return find(d.Holders, h) || find(d.Silent, h)
 }
 
-// Leases reports whether h holds leased parts and confirms the epoch.
-func (d *Division) Leases(h holder.Holder) bool {
+// HoldsLease reports whether h holds leased parts and confirms the epoch.
+func (d *Division) HoldsLease(h holder.Holder) bool {
 	return find(d.Holders, h)
 }
 
--- a/author/plan.go
+++ b/divisionwriter/plan.go
@@ -1,4 +1,4 @@
-package author
+package divisionwriter
 
 import (
 	"sort"
@@ -6,7 +6,7 @@
 	"celeryreach.example/celeryreach/config"
 	"celeryreach.example/celeryreach/division"
 	"celeryreach.example/celeryreach/holder"
-	"celeryreach.example/celeryreach/part"
+	"celeryreach.example/celeryreach/limitpart"
 	"celeryreach.example/celeryreach/span"
 )
 
@@ -36,7 +36,7 @@
 	for _, d := range n.Floors {
 		n.FloorSpans[d] = c.domainFloor(d)
 	}
-	n.Parts = make(map[string]map[string]part.Part)
+	n.Parts = make(map[string]map[string]limitpart.Limitpart)
 	for _, l := range p.listedLimits() {
 		c := &limitDivider{builder: p, next: &n, limit: l}
 		a, m := c.parts(u)
@@ -114,7 +114,7 @@
 		f = append(f, d.Name)
 	}
 	sort.Strings(f)
-	return f, p.config.InForce().FloorFraction
+	return f, p.config.ActivePreset().FloorFraction
 }
 
 // listedLimits returns the limits to list in the row: accounts with demand,
--- a/holding/holding.go
+++ b/entitlement/entitlement.go
@@ -1,6 +1,6 @@
-// Package holding decides which part of each limit this host may use at the
+// Package entitlement decides which part of each limit this host may use at the
 // moment. The rule and its proof are in docs/decisions/0001-limits.md.
-package holding
+package entitlement
 
 import (
 	"context"
@@ -27,9 +27,9 @@
 	livenessDivisor = 3
 )
 
-// Holding tracks the divisions and the epochs in the heartbeats of other hosts,
+// Entitlement tracks the divisions and the epochs in the heartbeats of other hosts,
 // and derives from them what this host may use.
-type Holding struct {
+type Entitlement struct {
 	// Clock is the monotonic clock of the host.
 	Clock clockwork.Clock
 	// Self is this process.
@@ -47,13 +47,13 @@
 	// holds; nil means never. While it returns true, for at most Hold, the host
 	// does not report the epoch that took the slots away.
 	Busy func() bool
-	// Owed is how long tokens that this host lent remain usable by the borrower
+	// LoanDuration is how long tokens that this host lent remain usable by the borrower
 	// after this host stopped lending. A new epoch is not reported before this
 	// time has passed.
-	Owed time.Duration
-	// Changing is called before the part that this host may use changes, while
+	LoanDuration time.Duration
+	// BeforeChange is called before the part that this host may use changes, while
 	// Grant still returns the old grants. It must not block.
-	Changing func()
+	BeforeChange func()
 
 	view atomic.Pointer[view]
 
@@ -83,7 +83,7 @@
 }
 
 // Run calls Tick at every interval until ctx ends.
-func (h *Holding) Run(ctx context.Context) error {
+func (h *Entitlement) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		h.Tick()
 		select {
@@ -97,7 +97,7 @@
 // Tick records that the process is running. A gap between two ticks means that
 // the process was paused and missed what the hosts of its failure domain did in
 // the meantime.
-func (h *Holding) Tick() {
+func (h *Entitlement) Tick() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
@@ -109,9 +109,9 @@
 	h.publish(n)
 }
 
-// Learn takes a division. Read is the time just before the table read that
+// ApplyDivision takes a division. Read is the time just before the table read that
 // returned it, or zero if it came from a peer.
-func (h *Holding) Learn(d division.Division, read time.Time) {
+func (h *Entitlement) ApplyDivision(d division.Division, read time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
@@ -129,9 +129,9 @@
 	h.publish(n)
 }
 
-// Heard takes the epoch that a peer reports. Sent is when this host sent the
+// RecordPeerEpoch takes the epoch that a peer reports. Sent is when this host sent the
 // heartbeat that the peer answered, or zero if the peer started the exchange.
-func (h *Holding) Heard(name string, incarnation, epoch uint64, sent time.Time) {
+func (h *Entitlement) RecordPeerEpoch(name string, incarnation, epoch uint64, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
@@ -153,29 +153,29 @@
 }
 
 // Epoch returns the epoch that this host is on.
-func (h *Holding) Epoch() uint64 {
+func (h *Entitlement) Epoch() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.epoch()
 }
 
-// Report returns the epoch to send in a heartbeat. By sending it, this host
+// ReportEpoch returns the epoch to send in a heartbeat. By sending it, this host
 // promises that it no longer uses anything that the epoch took away from it,
 // and that it no longer confirms any earlier epoch.
-func (h *Holding) Report() uint64 {
+func (h *Entitlement) ReportEpoch() uint64 {
 	b := h.Busy != nil && h.Busy()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n, e := h.Clock.Now(), h.epoch()
-	if d := n.Sub(h.epochLearnedAt); b && d < h.Hold || e > 1 && d < h.Owed {
+	if d := n.Sub(h.epochLearnedAt); b && d < h.Hold || e > 1 && d < h.LoanDuration {
 		return h.reportedEpochs.last()
 	}
 	h.reportedEpochs.record(e, n)
 	return e
 }
 
-// Wanted returns the highest epoch known from the table or from any peer.
-func (h *Holding) Wanted() uint64 {
+// HighestKnownEpoch returns the highest epoch known from the table or from any peer.
+func (h *Entitlement) HighestKnownEpoch() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.knownEpochs.last()
@@ -183,7 +183,7 @@
 
 // Current returns the division of this host's epoch together with the earlier
 // ones that some host may still use. It returns false if there is none yet.
-func (h *Holding) Current() (division.Division, bool) {
+func (h *Entitlement) Current() (division.Division, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.divisions) == 0 {
@@ -198,10 +198,10 @@
 	return d, true
 }
 
-// Moved reports whether some process of a failure domain, whose hosts are given
-// by of, has been on epoch or a later one for Hold. By then every running
-// process of the domain has stopped using the floors of earlier epochs.
-func (h *Holding) Moved(epoch uint64, of func(name string) bool) bool {
+// DomainReachedEpoch reports whether some process of a failure domain, whose hosts are
+// given by of, has been on epoch or a later one for Hold. By then every running process
+// of the domain has stopped using the floors of earlier epochs.
+func (h *Entitlement) DomainReachedEpoch(epoch uint64, of func(name string) bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
@@ -216,9 +216,9 @@
 	return false
 }
 
-// Steady reports whether the process has run without a gap for Hold. If so, a
+// RanWithoutGap reports whether the process has run without a gap for Hold. If so, a
 // process from which nothing has been received by now is silent.
-func (h *Holding) Steady() bool {
+func (h *Entitlement) RanWithoutGap() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ranWithoutGap(h.Clock.Now())
@@ -227,7 +227,7 @@
 // NeedsTable reports whether this host should read the table soon: it has no
 // division or an outdated one, it was paused, or too few other holders confirm
 // its division.
-func (h *Holding) NeedsTable() bool {
+func (h *Entitlement) NeedsTable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.Clock.Now()
@@ -235,37 +235,37 @@
 		return true
 	}
 	d := h.divisions[len(h.divisions)-1]
-	return d.Leases(h.Self) && n.Sub(h.quorumConfirmedAt(d, n)) > h.Hold/2
+	return d.HoldsLease(h.Self) && n.Sub(h.quorumConfirmedAt(d, n)) > h.Hold/2
 }
 
 // Grant returns what this host may use of a limit.
-func (h *Holding) Grant(limit string) grant.Grant {
+func (h *Entitlement) Grant(limit string) grant.Grant {
 	v := h.view.Load()
 	if v == nil {
-		return grant.Grant{Unknown: true}
+		return grant.Grant{Unassigned: true}
 	}
 	return v.grant(v.usages.limit(limit))
 }
 
 // Rate returns what this host may use of the rate and burst of an account.
-func (h *Holding) Rate(account string) grant.Grant {
+func (h *Entitlement) Rate(account string) grant.Grant {
 	v := h.view.Load()
 	if v == nil {
-		return grant.Grant{Unknown: true}
+		return grant.Grant{Unassigned: true}
 	}
 	return v.grant(v.usages.rate(account))
 }
 
-// Part returns the fraction of a limit that this host may use at the moment, in
+// Fraction returns the fraction of a limit that this host may use at the moment, in
 // 0..1.
-func (h *Holding) Part(limit string) float64 {
-	return h.Grant(limit).Part(h.Clock.Now())
+func (h *Entitlement) Fraction(limit string) float64 {
+	return h.Grant(limit).Fraction(h.Clock.Now())
 }
 
 // Slots returns which of the total slots of a limit this host may use at the
 // moment. The limit is split into total pieces of equal length, and slot k
 // belongs to the holder of the middle of piece k.
-func (h *Holding) Slots(limit string, total int) []int {
+func (h *Entitlement) Slots(limit string, total int) []int {
 	v := h.view.Load()
 	if v == nil {
 		return nil
@@ -273,7 +273,7 @@
 	u, n := v.usages.limit(limit), h.Clock.Now()
 	var r []int
 	for k := range total {
-		m := uint32((2*k + 1) * span.Whole / (2 * total))
+		m := uint32((2*k + 1) * span.FullLength / (2 * total))
 		f := n.Before(v.floorUntil) && span.Contains(u.floorSpans, m)
 		l := n.Before(v.leasedUntil) && span.Contains(u.leasedSpans, m)
 		if f || l {
@@ -286,13 +286,13 @@
 // Valid reports whether this host may use anything at the moment. It is checked
 // again right before a request is forwarded, since the process may have been
 // paused after it took a token or a slot.
-func (h *Holding) Valid() bool {
+func (h *Entitlement) Valid() bool {
 	v := h.view.Load()
 	n := h.Clock.Now()
 	return v != nil && (n.Before(v.floorUntil) || n.Before(v.leasedUntil))
 }
 
-func (h *Holding) epoch() uint64 {
+func (h *Entitlement) epoch() uint64 {
 	if len(h.divisions) == 0 {
 		return 0
 	}
@@ -300,12 +300,12 @@
 }
 
 // shortenForDrift shortens a wait that is measured by the user of a part.
-func (h *Holding) shortenForDrift(d time.Duration) time.Duration {
+func (h *Entitlement) shortenForDrift(d time.Duration) time.Duration {
 	return d - d/driftDivisor
 }
 
 // extendForDrift lengthens a wait that is measured by a process that wants to
 // take over a part.
-func (h *Holding) extendForDrift(d time.Duration) time.Duration {
+func (h *Entitlement) extendForDrift(d time.Duration) time.Duration {
 	return d + d/driftDivisor
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -14,12 +14,12 @@
 	"github.com/charmbracelet/log"
 	"github.com/jonboulle/clockwork"
 
-	"celeryreach.example/celeryreach/admission"
+	"celeryreach.example/celeryreach/authenticator"
 	"celeryreach.example/celeryreach/deadline"
-	"celeryreach.example/celeryreach/hop"
+	"celeryreach.example/celeryreach/errorresponse"
+	"celeryreach.example/celeryreach/hopheader"
 	"celeryreach.example/celeryreach/outcome"
 	"celeryreach.example/celeryreach/quota"
-	"celeryreach.example/celeryreach/refusal"
 	"celeryreach.example/celeryreach/request"
 	"celeryreach.example/celeryreach/snapshot"
 )
@@ -45,7 +45,7 @@
 	// Snapshot returns the configuration in force, nil before the first one.
 	Snapshot func() *snapshot.Snapshot
 	// Admission identifies keys.
-	Admission *admission.Admission
+	Admission *authenticator.Authenticator
 	// Quota admits requests within the rate and burst of their account.
 	Quota *quota.Quota
 	// Once runs a request with an ID at most once, by calling run.
@@ -94,7 +94,7 @@
 		o.EntryHosts = e.EntryHosts(r.Credential.Account, r.Service.Name)
 	}
 	b.abandon()
-	refusal.Write(w, o)
+	errorresponse.Write(w, o)
 }
 
 // serveAndRecover runs a request and converts the panic of an aborted response
@@ -122,11 +122,11 @@
 	if !ok {
 		return r, refuse(outcome.KeyUnknown, "the key is missing, wrong or withdrawn")
 	}
-	if f := admission.Fault(h); f != "" {
+	if f := authenticator.Fault(h); f != "" {
 		return r, refuse(outcome.BadRequest, f)
 	}
 	r.Credential = c
-	v, ok := e.Snapshot().Service(h.URL.Path)
+	v, ok := e.Snapshot().ServiceByPath(h.URL.Path)
 	if !ok {
 		return r, refuse(outcome.NoRoute, "no service has this path")
 	}
@@ -140,11 +140,11 @@
 	}
 	r.Deadline = e.Clock.Now().Add(d)
 	r.Header = backendHeader(h)
-	r.Touched = new(atomic.Bool)
+	r.BodyReadStarted = new(atomic.Bool)
 	r.Length = h.ContentLength
 	r.NonIdempotent = v.NonIdempotent || h.Method == http.MethodPost || h.Method == http.MethodPatch
 	r.IdempotencyID = h.Header.Get(IdempotencyHeader)
-	if !e.Admission.Trusts(r.NonIdempotent) {
+	if !e.Admission.MayUseKeys(r.NonIdempotent) {
 		return r, refuse(outcome.KeyStale, "this failure domain is disconnected and cannot verify whether the key was withdrawn")
 	}
 	return r, b.attach(r)
@@ -191,7 +191,7 @@
 	l := o.RetryAfter
 	o = e.Forward(x, r, w)
 	if o.Ran == outcome.RanNo {
-		r.Gate.Return()
+		r.Gate.Unsend()
 	}
 	if o.Outcome == outcome.NoCapacity && l > 0 && (l < o.RetryAfter || o.RetryAfter == 0) {
 		// The local domain will have a free slot before the others do.
@@ -207,15 +207,15 @@
 		r.Body = r.Rewind()
 		return true
 	}
-	return r.Body == nil || !r.Touched.Load()
+	return r.Body == nil || !r.BodyReadStarted.Load()
 }
 
 // backendHeader returns the fields of the caller's header that may be sent to
 // backend servers.
 func backendHeader(h *http.Request) http.Header {
 	r := h.Header.Clone()
-	admission.Strip(r)
-	hop.Strip(r)
+	authenticator.Strip(r)
+	hopheader.Strip(r)
 	// Both fields concern only the connection between the caller and this host.
 	r.Del("Expect")
 	r.Del("Content-Length")
--- a/refusal/refusal.go
+++ b/errorresponse/errorresponse.go
@@ -1,5 +1,5 @@
-// Package refusal writes outcomes to callers as HTTP responses.
-package refusal
+// Package errorresponse writes outcomes to callers as HTTP responses.
+package errorresponse
 
 import (
 	"math"
--- a/feedstandin/feedstandin.go
+++ b/feedstandin/feedstandin.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Slow delays each answer by d.
-func (s *Feedstandin) Slow(d time.Duration) {
+// SetDelay delays each answer by d.
+func (s *Feedstandin) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answerDelay = d
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -14,17 +14,17 @@
 	"github.com/pkg/errors"
 
 	"celeryreach.example/celeryreach/backendstandin"
-	"celeryreach.example/celeryreach/change"
 	"celeryreach.example/celeryreach/config"
+	"celeryreach.example/celeryreach/configcommit"
 	"celeryreach.example/celeryreach/member"
 	"celeryreach.example/celeryreach/platformclient"
+	"celeryreach.example/celeryreach/platformstandin"
 	"celeryreach.example/celeryreach/reservation"
 	"celeryreach.example/celeryreach/settings"
-	"celeryreach.example/celeryreach/standin"
 )
 
-// PlatformPlace is the label of the platform in calls of Cut and Heal.
-const PlatformPlace = "platform"
+// PlatformLabel is the label of the platform in calls of Partition and Heal.
+const PlatformLabel = "platform"
 
 const (
 	platformTimeout = 2 * time.Second
@@ -34,7 +34,7 @@
 )
 
 // Fleet is a deployment on loopback. The exported fields are set before Start,
-// except Platform, PlatformURL, Keys and Operator, which Start sets.
+// except Platform, PlatformURL, Keys and OperatorKey, which Start sets.
 type Fleet struct {
 	// Clock is the clock of all components. It must advance in real time
 	// because the components communicate through real sockets.
@@ -54,25 +54,25 @@
 	BackendsPerService int
 	// Slots is how many requests a backend server runs concurrently.
 	Slots int
-	// Work is how long a request takes on a warm backend server.
-	Work time.Duration
-	// Cold is how long a backend server stays cold after its first request.
-	Cold time.Duration
-	// Adjust changes the settings of a host before it starts. It may be nil.
-	Adjust func(s *settings.Settings)
+	// RequestDuration is how long a request takes on a warm backend server.
+	RequestDuration time.Duration
+	// ColdFor is how long a backend server stays cold after its first request.
+	ColdFor time.Duration
+	// AdjustSettings changes the settings of a host before it starts. It may be nil.
+	AdjustSettings func(s *settings.Settings)
 
 	// Roots are the certificate authorities that Status and Send trust if
 	// Adjust configures TLS on the hosts.
 	Roots *x509.CertPool
 
 	// Platform is the platform stand-in.
-	Platform *standin.Standin
+	Platform *platformstandin.Platformstandin
 	// PlatformURL is the base URL of the platform stand-in.
 	PlatformURL string
 	// Keys holds one key for each client account, by account name.
 	Keys map[string]string
-	// Operator is an operator's key.
-	Operator string
+	// OperatorKey is an operator's key.
+	OperatorKey string
 
 	network       network
 	platform      *platformclient.Platformclient
@@ -167,11 +167,11 @@
 	})
 }
 
-// Cut simulates a network partition between two labels, each the name of a
+// Partition simulates a network partition between two labels, each the name of a
 // host, a failure domain, a region or the platform, or "*" for everything. Open
 // connections between them are blackholed permanently, and new ones time out
 // until Heal is called.
-func (f *Fleet) Cut(a, b string) {
+func (f *Fleet) Partition(a, b string) {
 	f.network.partition(a, b)
 }
 
@@ -181,12 +181,12 @@
 	f.network.heal(a, b)
 }
 
-// Runs returns how often each request id was run, summed over all backend
+// RunCounts returns how often each request id was run, summed over all backend
 // servers.
-func (f *Fleet) Runs() map[string]int {
+func (f *Fleet) RunCounts() map[string]int {
 	r := make(map[string]int)
 	for _, b := range f.backends {
-		for k, v := range b.handler.Runs() {
+		for k, v := range b.handler.RunCounts() {
 			r[k] += v
 		}
 	}
@@ -206,7 +206,7 @@
 
 // commitConfig writes the configuration to the platform as its first version.
 func (f *Fleet) commitConfig(ctx context.Context) error {
-	c := &change.Change{Platform: f.platform.Platform()}
+	c := &configcommit.Configcommit{Platform: f.platform.Store()}
 	_, ok, err := c.Commit(ctx, 0, f.Config)
 	if err != nil {
 		return err
--- a/grant/grant.go
+++ b/grant/grant.go
@@ -21,17 +21,17 @@
 	// LeasedUntil is when the leased fraction stops being usable, unless it is
 	// renewed.
 	LeasedUntil time.Time
-	// Unknown is true if the current division does not contain this process, or
+	// Unassigned is true if the current division does not contain this process, or
 	// none is known yet. Requests then wait for a short time instead of being
 	// refused.
-	Unknown bool
-	// Unused is true if no host used the limit before this grant, so that its
+	Unassigned bool
+	// FirstUse is true if no host used the limit before this grant, so that its
 	// bucket may start full.
-	Unused bool
+	FirstUse bool
 }
 
-// Part returns the fraction that may be used at now.
-func (g Grant) Part(now time.Time) float64 {
+// Fraction returns the fraction that may be used at now.
+func (g Grant) Fraction(now time.Time) float64 {
 	f := 0.0
 	if now.Before(g.FloorUntil) && !now.Before(g.FloorSince) {
 		f = g.Floor
--- a/slope/slope.go
+++ b/linearfit/linearfit.go
@@ -1,21 +1,21 @@
-// Package slope fits a straight line through measured costs. It serves to
+// Package linearfit fits a straight line through measured costs. It serves to
 // extrapolate from sizes that fit on one machine to the target size.
-package slope
+package linearfit
 
-// Slope is the line cost = Base + Each·n, where n is the size.
-type Slope struct {
-	// Base is the intercept, the cost at size zero.
-	Base float64
-	// Each is the gradient, the cost per unit of size.
-	Each float64
-	// Fit is the coefficient of determination, 1 for a perfect fit. A low value
+// Linearfit is the line cost = Intercept + Slope·n, where n is the size.
+type Linearfit struct {
+	// Intercept is the cost at size zero.
+	Intercept float64
+	// Slope is the gradient, the cost per unit of size.
+	Slope float64
+	// RSquared is the coefficient of determination, 1 for a perfect fit. A low value
 	// means that the cost is not linear in the size and that At is unreliable.
-	Fit float64
+	RSquared float64
 }
 
 // New fits a line by least squares. It needs at least two different sizes. With a
 // single one, the line is constant at the mean cost.
-func New(sizes, costs []float64) Slope {
+func New(sizes, costs []float64) Linearfit {
 	x, y := mean(sizes), mean(costs)
 	var v, c, t float64
 	for i := range sizes {
@@ -24,20 +24,20 @@
 		t += (costs[i] - y) * (costs[i] - y)
 	}
 	if v == 0 {
-		return Slope{Base: y, Fit: 1}
+		return Linearfit{Intercept: y, RSquared: 1}
 	}
-	s := Slope{Each: c / v}
-	s.Base = y - s.Each*x
-	s.Fit = 1
+	s := Linearfit{Slope: c / v}
+	s.Intercept = y - s.Slope*x
+	s.RSquared = 1
 	if t > 0 {
-		s.Fit = c * c / (v * t)
+		s.RSquared = c * c / (v * t)
 	}
 	return s
 }
 
 // At returns the estimated cost at size n, at least zero.
-func (s Slope) At(n float64) float64 {
-	return max(0, s.Base+s.Each*n)
+func (s Linearfit) At(n float64) float64 {
+	return max(0, s.Intercept+s.Slope*n)
 }
 
 func mean(v []float64) float64 {
--- a/gauge/gauge.go
+++ b/loadstats/loadstats.go
@@ -1,5 +1,5 @@
-// Package gauge derives observations of load from the counts in hosts' heartbeats.
-package gauge
+// Package loadstats derives observations of load from the counts in hosts' heartbeats.
+package loadstats
 
 import (
 	"sync"
@@ -14,15 +14,15 @@
 // sampleInterval is the minimum time between two retained heartbeats of a host.
 const sampleInterval = time.Second
 
-// Gauge retains the heartbeats of a recent window. Slots and busy requests are counted
-// by the hosts themselves, not reported by backend servers.
-type Gauge struct {
+// Loadstats retains the heartbeats of a recent window. Slots and busy requests are
+// counted by the hosts themselves, not reported by backend servers.
+type Loadstats struct {
 	// Clock measures the age of heartbeats.
 	Clock clockwork.Clock
 	// Window is the period over which responses and failures are counted.
 	Window time.Duration
-	// Hold is the time without heartbeats after which a host's counts are excluded.
-	Hold time.Duration
+	// Timeout is the time without heartbeats after which a host's counts are excluded.
+	Timeout time.Duration
 
 	mu    sync.Mutex
 	hosts map[string]*hostProcess
@@ -42,9 +42,9 @@
 	heartbeat *wire.Heartbeat
 }
 
-// Note records a heartbeat of a peer or of this host. The heartbeat must not be
+// Record records a heartbeat of a peer or of this host. The heartbeat must not be
 // modified afterwards.
-func (g *Gauge) Note(h *wire.Heartbeat) {
+func (g *Loadstats) Record(h *wire.Heartbeat) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.hosts == nil {
@@ -67,12 +67,12 @@
 }
 
 // Observe returns one observation for each service and region.
-func (g *Gauge) Observe(services, regions []string) []observation.Observation {
+func (g *Loadstats) Observe(services, regions []string) []observation.Observation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := g.Clock.Now()
 	for k, s := range g.hosts {
-		if n.Sub(s.lastReceived) > g.Hold {
+		if n.Sub(s.lastReceived) > g.Timeout {
 			delete(g.hosts, k)
 		}
 	}
@@ -96,7 +96,7 @@
 
 // lookups returns the number of look-ups by a service's callers within the window, by
 // home region.
-func (g *Gauge) lookups(service string) map[string]float64 {
+func (g *Loadstats) lookups(service string) map[string]float64 {
 	r := make(map[string]float64)
 	for _, s := range g.hosts {
 		f := make(map[string]uint64)
@@ -115,7 +115,7 @@
 }
 
 // observe sums the counts of the hosts in a region for one service.
-func (g *Gauge) observe(service, region string) observation.Observation {
+func (g *Loadstats) observe(service, region string) observation.Observation {
 	o := observation.Observation{Service: service, Region: region}
 	var a, f, t uint64
 	for _, s := range g.hosts {
--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -8,12 +8,12 @@
 	"sort"
 	"time"
 
-	"celeryreach.example/celeryreach/answer"
 	"celeryreach.example/celeryreach/codec"
+	"celeryreach.example/celeryreach/errorresponse"
+	"celeryreach.example/celeryreach/lookupanswer"
 	"celeryreach.example/celeryreach/member"
 	"celeryreach.example/celeryreach/outcome"
 	"celeryreach.example/celeryreach/plan"
-	"celeryreach.example/celeryreach/refusal"
 	"celeryreach.example/celeryreach/rendezvous"
 	"celeryreach.example/celeryreach/roster"
 	"celeryreach.example/celeryreach/route"
@@ -51,19 +51,19 @@
 	Hosts func() *roster.Roster
 	// Block returns the client block of an address and its nearest region.
 	Block func(a netip.Addr) (netip.Prefix, string, bool)
-	// Home is the region assumed for callers without a client block.
-	Home string
+	// DefaultRegion is the region assumed for callers without a client block.
+	DefaultRegion string
 	// Lost reports whether no host of a region has sent a heartbeat for a
 	// long time.
 	Lost func(region string) bool
-	// Moved returns how many points of a lost region's callers are steered
+	// MovedPoints returns how many points of a lost region's callers are steered
 	// to other regions.
-	Moved func(service, region string) int
-	// Last returns the last known hosts of a region, alive or not.
-	Last func(region string) []member.Member
-	// Asked is called for each look-up, with the service and the caller's
+	MovedPoints func(service, region string) int
+	// LastKnownHosts returns the last known hosts of a region, alive or not.
+	LastKnownHosts func(region string) []member.Member
+	// OnLookup is called for each look-up, with the service and the caller's
 	// home region.
-	Asked func(service, home string)
+	OnLookup func(service, home string)
 	// Random returns a random number between 0 and 1, exclusive.
 	Random func() float64
 }
@@ -76,13 +76,13 @@
 		o = l.validate(q.Get("service"), q.Get("region"))
 	}
 	if o.Outcome != "" {
-		refusal.Write(w, o)
+		errorresponse.Write(w, o)
 		return
 	}
-	l.Asked(q.Get("service"), l.homeRegion(q.Get("region"), a))
+	l.OnLookup(q.Get("service"), l.homeRegion(q.Get("region"), a))
 	r, o := l.Find(q.Get("account"), q.Get("service"), q.Get("region"), a)
 	if o.Outcome != "" {
-		refusal.Write(w, o)
+		errorresponse.Write(w, o)
 		return
 	}
 	b, err := codec.Marshal(r)
@@ -118,7 +118,7 @@
 	if region != "" && !s.HasRegion(region) {
 		return badRequest("region: there is no such region")
 	}
-	if _, ok := s.Named(service); service != "" && !ok {
+	if _, ok := s.ServiceByName(service); service != "" && !ok {
 		return badRequest("service: there is no such service")
 	}
 	return outcome.Outcome{}
@@ -126,26 +126,26 @@
 
 // Find returns the entry hosts for a caller, or the outcome with the reason why
 // there are none. An empty region stands for the region nearest to the address.
-func (l *Lookup) Find(account, service, region string, a netip.Addr) (answer.Answer, outcome.Outcome) {
+func (l *Lookup) Find(account, service, region string, a netip.Addr) (lookupanswer.Lookupanswer, outcome.Outcome) {
 	b, _ := l.clientBlock(a)
 	h := l.homeRegion(region, a)
 	p := l.Plan()
 	t := p.Route(service, h).Find(route.Point(service, b)).Region
 	m := l.Hosts()
-	if l.Lost(t) || l.Moved(service, t) > 0 {
+	if l.Lost(t) || l.MovedPoints(service, t) > 0 {
 		e, ok := l.failoverRegion(service, t, b, m)
 		if !ok {
-			return answer.Answer{}, l.refuseUntilMoved(t)
+			return lookupanswer.Lookupanswer{}, l.refuseUntilMoved(t)
 		}
 		t = e
 	}
-	r := answer.Answer{Region: t}
+	r := lookupanswer.Lookupanswer{Region: t}
 	k := l.rankHosts(account, t, b, m, p)
 	if len(k) == 0 {
 		// No host of the region is alive at the moment, but its hosts
 		// may still be running: a region counts as lost only after a
 		// longer silence.
-		k = l.Last(t)
+		k = l.LastKnownHosts(t)
 	}
 	for _, v := range k {
 		r.EntryHosts = append(r.EntryHosts, v.CallerAddress)
@@ -181,16 +181,16 @@
 	}
 	p, err := a.Unmap().Prefix(n)
 	if err != nil {
-		return "", l.Home
+		return "", l.DefaultRegion
 	}
-	return p.String(), l.Home
+	return p.String(), l.DefaultRegion
 }
 
 // failoverRegion returns the region for a caller whose region is lost or
 // recovering. It reports false if the region is lost and the caller is not
 // among the callers moved so far.
 func (l *Lookup) failoverRegion(service, region, block string, o *roster.Roster) (string, bool) {
-	if route.Point("failover "+service, block) >= l.Moved(service, region) {
+	if route.Point("failover "+service, block) >= l.MovedPoints(service, region) {
 		return region, !l.Lost(region)
 	}
 	t, h := "", 0.0
@@ -210,7 +210,7 @@
 		Outcome: outcome.NoCapacity, Ran: outcome.RanNo, RetryAfter: time.Second,
 		Message: "the region is lost, and its callers are moved in steps",
 	}
-	for _, v := range l.Last(region) {
+	for _, v := range l.LastKnownHosts(region) {
 		o.EntryHosts = append(o.EntryHosts, v.CallerAddress)
 	}
 	if s := l.Snapshot(); s != nil {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -37,23 +37,23 @@
 	Self func() member.Member
 	// Seeds are peer addresses to contact before any list of hosts is known.
 	Seeds []string
-	// Listed returns the platform's list of hosts.
-	Listed func(ctx context.Context) ([]member.Member, error)
+	// ListHosts returns the platform's list of hosts.
+	ListHosts func(ctx context.Context) ([]member.Member, error)
 	// Partners selects the hosts to send heartbeats to; nil selects all hosts.
 	Partners func(self member.Member, all []member.Member, alive func(name string) bool) []member.Member
 	// Interval is the time between two heartbeats to a peer.
 	Interval time.Duration
 	// Hold is the time without a heartbeat after which a peer counts as dead.
 	Hold time.Duration
-	// Beat sends a heartbeat to an address and returns the reply.
-	Beat func(ctx context.Context, address string, h *wire.Heartbeat) (*wire.Heartbeat, error)
-	// Compose adds this host's versions and loads to a heartbeat. If the heartbeat
-	// is full, it also adds data that may be slightly out of date.
-	Compose func(h *wire.Heartbeat)
-	// Heard is called with each heartbeat and each reply received. For a reply,
+	// SendHeartbeat sends a heartbeat to an address and returns the reply.
+	SendHeartbeat func(ctx context.Context, address string, h *wire.Heartbeat) (*wire.Heartbeat, error)
+	// FillHeartbeat adds this host's versions and loads to a heartbeat. If the
+	// heartbeat is full, it also adds data that may be slightly out of date.
+	FillHeartbeat func(h *wire.Heartbeat)
+	// OnHeartbeat is called with each heartbeat and each reply received. For a reply,
 	// sent is when this host sent its heartbeat; for heartbeats sent by a peer, it
 	// is zero.
-	Heard func(h *wire.Heartbeat, sent time.Time)
+	OnHeartbeat func(h *wire.Heartbeat, sent time.Time)
 
 	mu       sync.Mutex
 	peers    map[string]*peer
@@ -99,8 +99,8 @@
 	return m.newHeartbeat(h.GetFrom().GetName())
 }
 
-// Hurry sends the next heartbeats at once, without waiting for the interval to end.
-func (m *Membership) Hurry() {
+// SendSoon sends the next heartbeats at once, without waiting for the interval to end.
+func (m *Membership) SendSoon() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.sendNow != nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-// sendNowSignal returns the channel that the next call of Hurry closes.
+// sendNowSignal returns the channel that the next call of SendSoon closes.
 func (m *Membership) sendNowSignal() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -178,17 +178,17 @@
 	return l
 }
 
-// Leaves reports whether a host is shutting down according to its latest heartbeat.
-func (m *Membership) Leaves(name string) bool {
+// IsLeaving reports whether a host is shutting down according to its latest heartbeat.
+func (m *Membership) IsLeaving(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peers[name]
 	return p != nil && p.member.Leaving
 }
 
-// OnList reports whether the platform's list of hosts, when last read, contained a
+// IsListed reports whether the platform's list of hosts, when last read, contained a
 // process that was not shutting down.
-func (m *Membership) OnList(h holder.Holder) bool {
+func (m *Membership) IsListed(h holder.Holder) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, v := range m.listed {
@@ -199,8 +199,8 @@
 	return false
 }
 
-// Last returns the latest heartbeat of a peer that is alive.
-func (m *Membership) Last(name string) (*wire.Heartbeat, bool) {
+// LastHeartbeat returns the latest heartbeat of a peer that is alive.
+func (m *Membership) LastHeartbeat(name string) (*wire.Heartbeat, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peers[name]
@@ -214,7 +214,7 @@
 func (m *Membership) pollHostList(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	for ctx.Err() == nil {
-		l, err := m.Listed(ctx)
+		l, err := m.ListHosts(ctx)
 		if err == nil {
 			m.setListed(l)
 		}
@@ -232,7 +232,7 @@
 }
 
 // recordHeartbeat stores a heartbeat if it supersedes the last one of its host, and
-// passes it to Heard.
+// passes it to OnHeartbeat.
 func (m *Membership) recordHeartbeat(h *wire.Heartbeat, sent time.Time) {
 	if h.GetFrom() == nil || h.From.Name == m.Self().Name {
 		return
@@ -252,7 +252,7 @@
 		m.peers[v.Name] = p
 	}
 	m.mu.Unlock()
-	m.Heard(h, sent)
+	m.OnHeartbeat(h, sent)
 }
 
 // supersedes reports whether a heartbeat is newer than the last one of its host.
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -20,9 +20,9 @@
 	service, region string
 }
 
-// Served counts one request that was run or refused. The duration is that of a
+// CountRequest counts one request that was run or refused. The duration is that of a
 // successful answer.
-func (m *Meter) Served(service string, d time.Duration, failed bool) {
+func (m *Meter) CountRequest(service string, d time.Duration, failed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.loads == nil {
@@ -41,8 +41,8 @@
 	l.AnswerNanoseconds += uint64(max(d, 0))
 }
 
-// Asked counts one look-up of a service by a caller whose home is a region.
-func (m *Meter) Asked(service, region string) {
+// CountLookup counts one look-up of a service by a caller whose home is a region.
+func (m *Meter) CountLookup(service, region string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.lookups == nil {
@@ -51,8 +51,8 @@
 	m.lookups[lookupOrigin{service: service, region: region}]++
 }
 
-// Fill adds the counters to a heartbeat that already has its loads.
-func (m *Meter) Fill(h *wire.Heartbeat) {
+// AddTo adds the counters to a heartbeat that already has its loads.
+func (m *Meter) AddTo(h *wire.Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range h.Loads {
--- a/mirror/feed.go
+++ b/mirror/feed.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// feedTimeoutMargin is how much longer than Wait a Feed call may take before it
-	// times out. The timeout detects connections that no longer respond.
+	// feedTimeoutMargin is how much longer than LongPollTimeout a Feed call may take
+	// before it times out. The timeout detects connections that no longer respond.
 	feedTimeoutMargin = 1500 * time.Millisecond
 	// updateHintDelay is how long a long poll may still take to return a change
 	// that a peer already has. The store sends a change to all hosts at the same
@@ -67,11 +67,11 @@
 	if d {
 		return m.probe(ctx)
 	}
-	w := m.Wait()
+	w := m.LongPollTimeout()
 	x, f := deadline.With(ctx, m.Clock, w+feedTimeoutMargin)
 	defer f()
 	var a response
-	if m.Store == nil {
+	if m.StoreFreshness == nil {
 		a.rows, a.version, a.err = m.Feed(x, n, w)
 	} else {
 		a.rows, a.version, a.err = m.longPoll(x, n, w)
@@ -105,14 +105,14 @@
 func (m *Mirror) watchLongPoll(ctx context.Context, cancel context.CancelFunc, hints <-chan struct{}, done chan<- bool) {
 	c, ok := m.awaitAbortCause(ctx, hints)
 	if ok {
-		m.Log.Info("store asked again", "Table", m.Name, "Cause", c, "StoreAge", time.Duration(m.Store.Age()))
+		m.Log.Info("store asked again", "Table", m.Name, "Cause", c, "StoreAge", time.Duration(m.StoreFreshness.Age()))
 		cancel()
 	}
 	done <- ok
 }
 
-// awaitAbortCause blocks until a long poll must be aborted and returns the cause:
-// the store has answered no host for Trust, or another host has a change that the
+// awaitAbortCause blocks until a long poll must be aborted and returns the cause: the
+// store has answered no host for StoreTimeout, or another host has a change that the
 // long poll has not returned. It returns false if ctx ends first.
 func (m *Mirror) awaitAbortCause(ctx context.Context, hints <-chan struct{}) (cause string, ok bool) {
 	for {
@@ -121,8 +121,8 @@
 			return "", false
 		case <-hints:
 			return "another host has a change", m.sleep(ctx, updateHintDelay)
-		case <-m.Clock.After(m.Store.Left(m.Trust)):
-			if m.Store.Left(m.Trust) <= 0 {
+		case <-m.Clock.After(m.StoreFreshness.Remaining(m.StoreTimeout)):
+			if m.StoreFreshness.Remaining(m.StoreTimeout) <= 0 {
 				return "the store has answered no host", true
 			}
 		}
--- a/copier/copier.go
+++ b/mirrorsync/mirrorsync.go
@@ -1,6 +1,6 @@
-// Package copier fetches newer copies of the store's tables from other hosts,
+// Package mirrorsync fetches newer copies of the store's tables from other hosts,
 // for a host that cannot reach the store itself.
-package copier
+package mirrorsync
 
 import (
 	"context"
@@ -23,9 +23,9 @@
 	fetchTimeout = time.Second
 )
 
-// Copier compares the table versions that other hosts report with its own
+// Mirrorsync compares the table versions that other hosts report with its own
 // copies.
-type Copier struct {
+type Mirrorsync struct {
 	// Clock bounds fetches.
 	Clock clockwork.Clock
 	// Log receives one line for each fetch that failed.
@@ -44,36 +44,36 @@
 	version uint64
 }
 
-// New returns a Copier. Its fields must be set before Run is called.
-func New() *Copier {
-	return &Copier{jobs: make(chan fetchJob, maxPendingFetches)}
+// New returns a Mirrorsync. Its fields must be set before Run is called.
+func New() *Mirrorsync {
+	return &Mirrorsync{jobs: make(chan fetchJob, maxPendingFetches)}
 }
 
 // Versions returns the versions of the own copies, for heartbeats.
-func (c *Copier) Versions() []*wire.Version {
+func (c *Mirrorsync) Versions() []*wire.Version {
 	var r []*wire.Version
 	for _, m := range c.Mirrors {
 		v := &wire.Version{Kind: m.Name, Version: m.Version()}
-		if m.Store != nil {
-			v.AgeNanoseconds = m.Store.Own()
+		if m.StoreFreshness != nil {
+			v.AgeNanoseconds = m.StoreFreshness.OwnAge()
 		}
 		r = append(r, v)
 	}
 	return r
 }
 
-// Heard processes the versions that a host reports, and queues fetches of newer
-// ones. It never blocks.
-func (c *Copier) Heard(address string, l []*wire.Version) {
+// HandleVersions processes the versions that a host reports, and queues fetches of
+// newer ones. It never blocks.
+func (c *Mirrorsync) HandleVersions(address string, l []*wire.Version) {
 	for _, v := range l {
 		for _, m := range c.Mirrors {
 			if m.Name != v.GetKind() {
 				continue
 			}
-			if m.Store != nil {
-				m.Store.Heard(v.GetAgeNanoseconds())
+			if m.StoreFreshness != nil {
+				m.StoreFreshness.RecordRemoteAge(v.GetAgeNanoseconds())
 			}
-			if !m.Wants(v.GetVersion()) {
+			if !m.NeedsPeerCopy(v.GetVersion()) {
 				continue
 			}
 			select {
@@ -85,7 +85,7 @@
 }
 
 // Answer returns the copy that another host requests.
-func (c *Copier) Answer(f *wire.FetchRequest) *wire.FetchResponse {
+func (c *Mirrorsync) Answer(f *wire.FetchRequest) *wire.FetchResponse {
 	for _, m := range c.Mirrors {
 		if m.Name != f.GetKind() {
 			continue
@@ -100,7 +100,7 @@
 }
 
 // Run processes queued fetches until ctx ends.
-func (c *Copier) Run(ctx context.Context) error {
+func (c *Mirrorsync) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -111,8 +111,8 @@
 	}
 }
 
-func (c *Copier) fetch(ctx context.Context, w fetchJob) {
-	if !w.mirror.Wants(w.version) {
+func (c *Mirrorsync) fetch(ctx context.Context, w fetchJob) {
+	if !w.mirror.NeedsPeerCopy(w.version) {
 		return
 	}
 	x, f := deadline.With(ctx, c.Clock, fetchTimeout)
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -7,24 +7,24 @@
 
 	"github.com/jonboulle/clockwork"
 
+	"celeryreach.example/celeryreach/attempted"
 	"celeryreach.example/celeryreach/backend"
-	"celeryreach.example/celeryreach/coldpace"
+	"celeryreach.example/celeryreach/coldrate"
 	"celeryreach.example/celeryreach/placement"
 	"celeryreach.example/celeryreach/request"
 	"celeryreach.example/celeryreach/result"
 	"celeryreach.example/celeryreach/service"
-	"celeryreach.example/celeryreach/tried"
 )
 
-// BenchmarkPlacement measures Count, Take and Release of one request, by the number of
-// backend servers of the service.
+// BenchmarkPlacement measures CountArrival, Take and Release of one request, by the
+// number of backend servers of the service.
 func BenchmarkPlacement(b *testing.B) {
 	for _, n := range []int{12, 40, 120} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := &placement.Placement{
-				Clock: clockwork.NewRealClock(), Region: "region-0", Far: 0.15,
-				Rate: func(string) (float64, time.Duration) { return 10, 3 * time.Second },
-				Pace: &coldpace.Coldpace{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 2, Slack: 5},
+				Clock: clockwork.NewRealClock(), Region: "region-0", RemoteWeight: 0.15,
+				ColdCapacity: func(string) (float64, time.Duration) { return 10, 3 * time.Second },
+				ColdRate:     &coldrate.Coldrate{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 2, Slack: 5},
 			}
 			var l []backend.Backend
 			for i := range n {
@@ -36,9 +36,9 @@
 			for i := range b.N {
 				r := &request.Request{
 					ID: fmt.Sprint(i), Object: fmt.Sprint(i % 200), Route: "view",
-					Service: service.Service{Name: "listings"}, Tried: new(tried.Tried),
+					Service: service.Service{Name: "listings"}, Tried: new(attempted.Attempted),
 				}
-				p.Count(r)
+				p.CountArrival(r)
 				if v, ok, _ := p.Take(r); ok {
 					p.Release(v.Name, r, result.Succeeded)
 				}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -10,14 +10,14 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/rogpeppe/go-internal/testscript"
 
+	"celeryreach.example/celeryreach/attempted"
 	"celeryreach.example/celeryreach/backend"
-	"celeryreach.example/celeryreach/coldpace"
+	"celeryreach.example/celeryreach/coldrate"
 	"celeryreach.example/celeryreach/placement"
 	"celeryreach.example/celeryreach/request"
 	"celeryreach.example/celeryreach/result"
 	"celeryreach.example/celeryreach/scripttest"
 	"celeryreach.example/celeryreach/service"
-	"celeryreach.example/celeryreach/tried"
 )
 
 // fixture is one host in region lagos that places requests.
@@ -54,8 +54,8 @@
 				requests: make(map[string]*request.Request), placedAt: make(map[string]string),
 			}
 			w.placement = &placement.Placement{
-				Clock: w.clock, Region: "lagos", Far: 0.15, Rate: func(string) (float64, time.Duration) { return 1, 3 * time.Second },
-				Pace: &coldpace.Coldpace{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 1.5, Slack: 1},
+				Clock: w.clock, Region: "lagos", RemoteWeight: 0.15, ColdCapacity: func(string) (float64, time.Duration) { return 1, 3 * time.Second },
+				ColdRate: &coldrate.Coldrate{Self: "a", Hosts: func() []string { return []string{"a"} }, Overage: 1.5, Slack: 1},
 			}
 			e.Values["fixture"] = w
 			return nil
@@ -99,11 +99,11 @@
 	w := fixtureOf(ts)
 	r := &request.Request{
 		ID: a[0], Object: a[1], Route: "view", Priority: scripttest.Scripttest{Script: ts}.Number(a[2]),
-		Service: service.Service{Name: "listings"}, Tried: new(tried.Tried),
+		Service: service.Service{Name: "listings"}, Tried: new(attempted.Attempted),
 	}
 	for _, v := range a[3:] {
 		if h, ok := strings.CutPrefix(v, "homes="); ok {
-			r.Homes = func(region string) bool { return region == h }
+			r.AllowsRegion = func(region string) bool { return region == h }
 		}
 		if n, ok := strings.CutPrefix(v, "not="); ok {
 			r.Tried.Add(n)
@@ -158,7 +158,7 @@
 
 func again(ts *testscript.TestScript, _ bool, a []string) {
 	w := fixtureOf(ts)
-	if d := w.placement.Again(w.requests[a[0]]); d != (scripttest.Scripttest{Script: ts}).Duration(a[1]) {
+	if d := w.placement.RetryAfter(w.requests[a[0]]); d != (scripttest.Scripttest{Script: ts}).Duration(a[1]) {
 		ts.Fatalf("may be placed in %s", d)
 	}
 }
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"celeryreach.example/celeryreach/accepted"
+	"celeryreach.example/celeryreach/acceptedversion"
 	"celeryreach.example/celeryreach/difference"
 )
 
@@ -18,7 +18,7 @@
 	// Mistakes lists all mistakes in a refused configuration.
 	Mistakes []string `json:",omitzero"`
 	// Accepted is the currently accepted version, set for a conflict.
-	Accepted accepted.Accepted `json:",omitzero"`
+	Accepted acceptedversion.Acceptedversion `json:",omitzero"`
 	// Yours lists the differences that the refused change would have made.
 	Yours []difference.Difference `json:",omitzero"`
 	// Theirs lists the differences made by the changes that were accepted since
@@ -30,18 +30,18 @@
 const (
 	// KeyUnknown means that the operator's key is missing, wrong or withdrawn.
 	KeyUnknown = "KeyUnknown"
-	// Unconfigured means that the host has no configuration yet.
-	Unconfigured = "Unconfigured"
+	// NotConfigured means that the host has no configuration yet.
+	NotConfigured = "Unconfigured"
 	// BadRequest means that the interface does not support the request.
 	BadRequest = "BadRequest"
-	// Mistaken means that the configuration has mistakes; nothing was changed.
-	Mistaken = "Mistaken"
+	// InvalidConfig means that the configuration has mistakes; nothing was changed.
+	InvalidConfig = "Mistaken"
 	// Conflict means that the base version of the change is no longer the
 	// accepted version; nothing was changed.
 	Conflict = "Conflict"
-	// Unknown means that the platform failed during the write, so the outcome of
+	// OutcomeUnknown means that the platform failed during the write, so the outcome of
 	// the change is unknown.
-	Unknown = "Unknown"
+	OutcomeUnknown = "Unknown"
 )
 
 // Error returns the cause, the message and all mistakes.
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -13,7 +13,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"celeryreach.example/celeryreach/accepted"
+	"celeryreach.example/celeryreach/acceptedversion"
 	"celeryreach.example/celeryreach/codec"
 	"celeryreach.example/celeryreach/delta"
 	"celeryreach.example/celeryreach/store"
@@ -42,8 +42,8 @@
 	Platform store.Store
 	// Clock paces the reads of the platform.
 	Clock clockwork.Clock
-	// Every returns the time until the next read.
-	Every func() time.Duration
+	// PollInterval returns the time until the next read.
+	PollInterval func() time.Duration
 	// Polled is called after each read that the platform answered. It may be nil.
 	Polled func()
 	// Apply puts a content in force. If it returns an error, the content is
@@ -78,8 +78,8 @@
 	return r.version, r.hash, r.content
 }
 
-// Forked returns how often a different content was seen with this host's version.
-func (r *Replica) Forked() uint64 {
+// Divergences returns how often a different content was seen with this host's version.
+func (r *Replica) Divergences() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.divergences
@@ -115,13 +115,13 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-r.Clock.After(r.Every()):
+		case <-r.Clock.After(r.PollInterval()):
 		}
 	}
 }
 
-// Read reports whether Run has read the platform successfully at least once.
-func (r *Replica) Read() bool {
+// HasPolled reports whether Run has read the platform successfully at least once.
+func (r *Replica) HasPolled() bool {
 	return r.platformRead.Load()
 }
 
@@ -131,14 +131,14 @@
 	if err != nil || w.Version == 0 {
 		return err
 	}
-	var a accepted.Accepted
+	var a acceptedversion.Acceptedversion
 	if err := codec.Unmarshal(w.Value, &a); err != nil {
 		return errors.Wrap(err, r.Kind)
 	}
 	if !r.Compare(&wire.Version{Version: a.Version, Hash: a.Hash}, "platform") {
 		return nil
 	}
-	b, err := r.Platform.GetObject(ctx, accepted.ObjectName(r.Key, a.Hash))
+	b, err := r.Platform.GetObject(ctx, acceptedversion.ObjectName(r.Key, a.Hash))
 	if err != nil {
 		return errors.Wrap(err, r.Kind)
 	}
@@ -159,7 +159,7 @@
 	if version <= v {
 		return nil
 	}
-	if accepted.Hash(content) != hash {
+	if acceptedversion.Hash(content) != hash {
 		return errors.Errorf("%s %d: content does not have hash %s", r.Kind, version, hash)
 	}
 	if err := r.Apply(version, hash, content); err != nil {
--- a/report/measures.go
+++ b/report/measures.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"celeryreach.example/celeryreach/objective"
-	"celeryreach.example/celeryreach/tally"
+	"celeryreach.example/celeryreach/requestcounts"
 )
 
 // recentWindow is the window of the measures without an error budget.
@@ -22,7 +22,7 @@
 	r := worstAccount{Service: o.Service, Served: 2, Target: o.WorstShare}
 	for _, a := range b.config.Accounts {
 		s := scope{service: o.Service, account: a.Name}
-		d, t := badAndTotal(Whole, b.sum(s, recentWindow), b.wrongfulRefusals(s, recentWindow))
+		d, t := badAndTotal(Complete, b.sum(s, recentWindow), b.wrongfulRefusals(s, recentWindow))
 		if t > 0 && (t-d)/t < r.Served {
 			r.Account = a.Name
 			r.Served = (t - d) / t
@@ -114,14 +114,14 @@
 // burnByMinute returns for each minute the higher of the burn rates for latency
 // and for complete answers.
 func (b *builder) burnByMinute(o objective.Objective) []burnPoint {
-	m := make(map[int64]*tally.Tally)
+	m := make(map[int64]*requestcounts.Requestcounts)
 	for _, h := range b.hostSums {
 		for _, v := range h.Tallies {
 			if v.Service != o.Service {
 				continue
 			}
 			if m[v.Minute] == nil {
-				m[v.Minute] = new(tally.Tally)
+				m[v.Minute] = new(requestcounts.Requestcounts)
 			}
 			m[v.Minute].Add(v)
 		}
@@ -130,7 +130,7 @@
 	var r []burnPoint
 	for k, t := range m {
 		x, n := badAndTotal(Latency, *t, 0)
-		y, z := badAndTotal(Whole, *t, w[k])
+		y, z := badAndTotal(Complete, *t, w[k])
 		f := max(burnRate(x, n, 1-o.LatencyFraction), burnRate(y, z, 1-o.WholeFraction))
 		r = append(r, burnPoint{Minute: k, Service: o.Service, Burn: f})
 	}
--- a/request/request.go
+++ b/request/request.go
@@ -8,11 +8,11 @@
 	"sync/atomic"
 	"time"
 
+	"celeryreach.example/celeryreach/attempted"
 	"celeryreach.example/celeryreach/credential"
-	"celeryreach.example/celeryreach/gate"
+	"celeryreach.example/celeryreach/decisionlog"
+	"celeryreach.example/celeryreach/sendgate"
 	"celeryreach.example/celeryreach/service"
-	"celeryreach.example/celeryreach/trail"
-	"celeryreach.example/celeryreach/tried"
 )
 
 // Request is an identified request without its API key.
@@ -39,14 +39,15 @@
 	// Attempts limits how many backend servers the request may be sent to; zero means
 	// the host's default.
 	Attempts int
-	// Patience is how long the request may wait for a slot.
-	Patience time.Duration
-	// Homes reports whether a region may serve the request; nil allows all regions.
-	Homes func(region string) bool
+	// MaxWait is how long the request may wait for a slot.
+	MaxWait time.Duration
+	// AllowsRegion reports whether a region may serve the request; nil allows all
+	// regions.
+	AllowsRegion func(region string) bool
 	// Tried holds the backend servers that the request was sent to.
-	Tried *tried.Tried
+	Tried *attempted.Attempted
 	// Trail collects the decisions on the request for the log.
-	Trail *trail.Trail
+	Trail *decisionlog.Decisionlog
 	// Method is the HTTP method.
 	Method string
 	// Target is the path and query.
@@ -57,9 +58,9 @@
 	Body io.Reader
 	// Rewind returns the body from its start again; nil if it can be read only once.
 	Rewind func() io.Reader
-	// Touched is set before the first byte of the body is read: after that, a body
-	// that cannot be rewound cannot be sent again. It may be nil.
-	Touched *atomic.Bool
+	// BodyReadStarted is set before the first byte of the body is read: after that, a
+	// body that cannot be rewound cannot be sent again. It may be nil.
+	BodyReadStarted *atomic.Bool
 	// Length is the length of the body, -1 if it is not known.
 	Length int64
 	// Deadline is when the caller stops waiting.
@@ -73,5 +74,5 @@
 	IdempotencyID string
 	// Gate decides once whether the request is sent or given up; nil if only the
 	// request's context decides.
-	Gate *gate.Gate
+	Gate *sendgate.Sendgate
 }
--- a/whole/whole.go
+++ b/responsecopier/responsecopier.go
@@ -1,6 +1,6 @@
-// Package whole copies responses to callers in such a way that a caller can
+// Package responsecopier copies responses to callers in such a way that a caller can
 // distinguish a complete response from a truncated one.
-package whole
+package responsecopier
 
 import (
 	"io"
@@ -11,7 +11,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"celeryreach.example/celeryreach/hop"
+	"celeryreach.example/celeryreach/hopheader"
 )
 
 // streamBufferBytes is the size of the buffer through which a long response is copied.
@@ -24,43 +24,45 @@
 
 // Errors of Copy.
 var (
-	// ErrBackend is a response that was truncated before any part of it was passed on.
-	ErrBackend = errors.New("the answer broke off")
-	// ErrBroken is a response that was truncated after its header was passed on.
-	ErrBroken = errors.New("the answer broke off after its head")
+	// ErrTruncated is a response that was truncated before any part of it was passed
+	// on.
+	ErrTruncated = errors.New("the answer broke off")
+	// ErrTruncatedAfterHeader is a response that was truncated after its header was
+	// passed on.
+	ErrTruncatedAfterHeader = errors.New("the answer broke off after its head")
 	// ErrCaller is a caller that stopped reading.
 	ErrCaller = errors.New("the caller stopped reading")
 )
 
-// Whole copies responses to callers.
-type Whole struct {
+// Responsecopier copies responses to callers.
+type Responsecopier struct {
 	// Clock sets write deadlines.
 	Clock clockwork.Clock
-	// Limit is how many bytes of a response are buffered until it is complete.
-	Limit int
-	// Patience is how long a caller may take to read one buffer: a caller that has
+	// BufferLimit is how many bytes of a response are buffered until it is complete.
+	BufferLimit int
+	// WriteTimeout is how long a caller may take to read one buffer: a caller that has
 	// stopped reading must not occupy a slot.
-	Patience time.Duration
-	// Unframed allows responses that have neither a length nor chunked encoding and
-	// end when their connection is closed. It is for backend servers that reset the
+	WriteTimeout time.Duration
+	// AllowUndelimited allows responses that have neither a length nor chunked encoding
+	// and end when their connection is closed. It is for backend servers that reset the
 	// connection of a truncated response, so that a regular end can be recognized.
-	Unframed bool
+	AllowUndelimited bool
 }
 
 // Copy writes response p to w. It calls free once, when the backend server will send
 // no more of p; for buffered responses that is before the caller reads.
-func (o *Whole) Copy(w http.ResponseWriter, p *http.Response, free func(error)) error {
+func (o *Responsecopier) Copy(w http.ResponseWriter, p *http.Response, free func(error)) error {
 	defer p.Body.Close()
-	if !o.Unframed && !delimited(p) {
-		free(ErrBackend)
-		return errors.Wrap(ErrBackend, "the answer has neither Content-Length nor chunked encoding, so truncation cannot be detected")
+	if !o.AllowUndelimited && !delimited(p) {
+		free(ErrTruncated)
+		return errors.Wrap(ErrTruncated, "the answer has neither Content-Length nor chunked encoding, so truncation cannot be detected")
 	}
-	b, err := io.ReadAll(io.LimitReader(p.Body, int64(o.Limit)+1))
+	b, err := io.ReadAll(io.LimitReader(p.Body, int64(o.BufferLimit)+1))
 	if err != nil {
-		free(ErrBackend)
-		return errors.Wrap(ErrBackend, err.Error())
+		free(ErrTruncated)
+		return errors.Wrap(ErrTruncated, err.Error())
 	}
-	if len(b) <= o.Limit {
+	if len(b) <= o.BufferLimit {
 		free(nil)
 		if p.Request != nil && p.Request.Method == http.MethodHead {
 			writeHeader(w, p.StatusCode, p.Header, p.ContentLength)
@@ -87,13 +89,13 @@
 }
 
 // stream writes the first part b of response p, then copies the rest buffer by buffer.
-func (o *Whole) stream(w http.ResponseWriter, p *http.Response, b []byte) error {
+func (o *Responsecopier) stream(w http.ResponseWriter, p *http.Response, b []byte) error {
 	c := http.NewResponseController(w)
 	writeHeader(w, p.StatusCode, p.Header, p.ContentLength)
 	r := make([]byte, streamBufferBytes)
 	for {
 		// Not every writer supports deadlines; streams between hosts do not.
-		_ = c.SetWriteDeadline(o.Clock.Now().Add(o.Patience))
+		_ = c.SetWriteDeadline(o.Clock.Now().Add(o.WriteTimeout))
 		if _, err := w.Write(b); err != nil {
 			return errors.Wrap(ErrCaller, err.Error())
 		}
@@ -107,7 +109,7 @@
 			return nil
 		}
 		if err != nil {
-			return errors.Wrap(ErrBroken, err.Error())
+			return errors.Wrap(ErrTruncatedAfterHeader, err.Error())
 		}
 	}
 }
@@ -125,7 +127,7 @@
 // the body, -1 if it is not known.
 func writeHeader(w http.ResponseWriter, status int, h http.Header, n int64) {
 	c := h.Clone()
-	hop.Strip(c)
+	hopheader.Strip(c)
 	c.Del("Content-Length")
 	c.Del(NotRunHeader)
 	for k, v := range c {
--- a/budget/budget.go
+++ b/retrybudget/retrybudget.go
@@ -1,5 +1,5 @@
-// Package budget limits second attempts to a fraction of first attempts.
-package budget
+// Package retrybudget limits second attempts to a fraction of first attempts.
+package retrybudget
 
 import "sync"
 
@@ -10,9 +10,9 @@
 	defaultMaxRetries = 20
 )
 
-// Budget counts the attempts for each service. Without it, an overloaded backend
+// Retrybudget counts the attempts for each service. Without it, an overloaded backend
 // server would receive every request twice at the time when it can handle that least.
-type Budget struct {
+type Retrybudget struct {
 	// Ratio returns the maximum ratio of second attempts to first attempts.
 	Ratio func() float64
 	// Limit returns how many second attempts may be made in a burst; nil means 20.
@@ -22,16 +22,16 @@
 	remaining map[string]float64
 }
 
-// First counts a first attempt.
-func (b *Budget) First(service string) {
+// CountRequest counts a first attempt.
+func (b *Retrybudget) CountRequest(service string) {
 	r := b.Ratio()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.remaining[service] = min(b.balance(service)+r, b.maxRetries())
 }
 
-// Second reports whether a second attempt is allowed, and counts it if so.
-func (b *Budget) Second(service string) bool {
+// TakeRetry reports whether a second attempt is allowed, and counts it if so.
+func (b *Retrybudget) TakeRetry(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	v := min(b.balance(service), b.maxRetries())
@@ -43,7 +43,7 @@
 }
 
 // balance returns how many second attempts a service has left.
-func (b *Budget) balance(service string) float64 {
+func (b *Retrybudget) balance(service string) float64 {
 	if b.remaining == nil {
 		b.remaining = make(map[string]float64)
 	}
@@ -53,7 +53,7 @@
 	return min(initialRetries, b.maxRetries())
 }
 
-func (b *Budget) maxRetries() float64 {
+func (b *Retrybudget) maxRetries() float64 {
 	if b.Limit == nil {
 		return defaultMaxRetries
 	}
--- a/gate/gate.go
+++ b/sendgate/sendgate.go
@@ -1,5 +1,5 @@
-// Package gate decides atomically whether a request is sent or refused.
-package gate
+// Package sendgate decides atomically whether a request is sent or refused.
+package sendgate
 
 import "sync"
 
@@ -9,12 +9,12 @@
 	refused
 )
 
-// Gate is the single state that determines whether a request is reported as
+// Sendgate is the single state that determines whether a request is reported as
 // sent or as "not run". With two separate flags, the caller could be told "not
 // run" while the request is being sent. Here one side always wins, and the
-// other side is informed. A nil Gate lets every request be sent and none be
+// other side is informed. A nil Sendgate lets every request be sent and none be
 // refused.
-type Gate struct {
+type Sendgate struct {
 	mu            sync.Mutex
 	state         int
 	refusalWanted bool
@@ -22,7 +22,7 @@
 
 // Send marks the request as sent. It returns false if the request has been
 // refused and must not be sent.
-func (g *Gate) Send() bool {
+func (g *Sendgate) Send() bool {
 	if g == nil {
 		return true
 	}
@@ -35,10 +35,10 @@
 	return true
 }
 
-// Return undoes Send after proof that the request did not run. It returns false
+// Unsend undoes Send after proof that the request did not run. It returns false
 // if Refuse was called in the meantime, in which case the request is now
 // refused.
-func (g *Gate) Return() bool {
+func (g *Sendgate) Unsend() bool {
 	if g == nil {
 		return true
 	}
@@ -53,7 +53,7 @@
 
 // Refuse marks the request as refused. It returns false if the request has been
 // sent.
-func (g *Gate) Refuse() bool {
+func (g *Sendgate) Refuse() bool {
 	if g == nil {
 		return false
 	}
--- a/span/span.go
+++ b/span/span.go
@@ -3,9 +3,9 @@
 
 import "sort"
 
-// Whole is the length of a complete limit. Every limit is an interval [0,
-// Whole), whatever its unit.
-const Whole = 1 << 20
+// FullLength is the length of a complete limit. Every limit is an interval [0,
+// FullLength), whatever its unit.
+const FullLength = 1 << 20
 
 // Span is the interval [From, To) of a limit.
 type Span struct {
@@ -106,8 +106,8 @@
 	return first, nil
 }
 
-// Equal splits s into n pieces whose lengths differ by at most one.
-func Equal(s []Span, n int) [][]Span {
+// SplitEqually splits s into n pieces whose lengths differ by at most one.
+func SplitEqually(s []Span, n int) [][]Span {
 	r := make([][]Span, n)
 	l := Length(s)
 	for i := range n {
--- a/silence/silence.go
+++ b/storesilence/storesilence.go
@@ -1,6 +1,7 @@
-// Package silence detects when the store may hold changes that no host has received,
-// because it hasn't answered for some time or has only just resumed answering.
-package silence
+// Package storesilence detects when the store may hold changes that no host has
+// received, because it hasn't answered for some time or has only just resumed
+// answering.
+package storesilence
 
 import (
 	"context"
@@ -16,8 +17,8 @@
 // checkInterval is how often the age of the store's last answer is checked.
 const checkInterval = 100 * time.Millisecond
 
-// Silence monitors the age of the store's last answer to any host.
-type Silence struct {
+// Storesilence monitors the age of the store's last answer to any host.
+type Storesilence struct {
 	// Clock measures how long changes may be missing after a silence.
 	Clock clockwork.Clock
 	// Log receives one line when changes may be missing and one when none are.
@@ -25,16 +26,16 @@
 	// Age returns the time since the store last answered this host or one that it
 	// receives messages from; ok is false if the store never did.
 	Age func() (d time.Duration, ok bool)
-	// After is the age from which changes may be missing.
-	After time.Duration
-	// Long is the duration of a silence after which changes may be missing for another
-	// Settle.
-	Long, Settle time.Duration
-	// Entries returns the age, as Age does, of the store's last answer on the entries
-	// that carry the missing changes. After a long silence, changes may also be missing
-	// until News after these entries are received.
-	Entries func() (d time.Duration, ok bool)
-	News    time.Duration
+	// MaxAge is the age from which changes may be missing.
+	MaxAge time.Duration
+	// LongSilence is the duration of a silence after which changes may be missing for
+	// another Settle.
+	LongSilence, Settle time.Duration
+	// EntriesAge returns the age, as Age does, of the store's last answer on the
+	// entries that carry the missing changes. After a long silence, changes may also be
+	// missing until EntriesDelay after these entries are received.
+	EntriesAge   func() (d time.Duration, ok bool)
+	EntriesDelay time.Duration
 
 	mu         sync.Mutex
 	lastAge    time.Duration // at the last check
@@ -44,9 +45,9 @@
 }
 
 // Run checks the age until ctx ends, so that no silence between requests is missed.
-func (s *Silence) Run(ctx context.Context) error {
+func (s *Storesilence) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		s.Unheard()
+		s.ChangesMissing()
 		select {
 		case <-ctx.Done():
 		case <-s.Clock.After(checkInterval):
@@ -55,28 +56,28 @@
 	return nil
 }
 
-// Unheard reports whether the store may hold changes that no host has received.
-func (s *Silence) Unheard() bool {
+// ChangesMissing reports whether the store may hold changes that no host has received.
+func (s *Storesilence) ChangesMissing() bool {
 	d, ok := s.Age()
-	e, _ := s.Entries()
+	e, _ := s.EntriesAge()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.Clock.Now()
-	if s.lastAge+checkInterval >= s.Long && d < s.lastAge {
+	if s.lastAge+checkInterval >= s.LongSilence && d < s.lastAge {
 		s.silenceEnd, s.staleUntil = n, n.Add(s.Settle)
 	}
 	s.lastAge = d
 	if n.Before(s.staleUntil) && e >= n.Sub(s.silenceEnd) {
-		s.staleUntil = deadline.Later(s.staleUntil, n.Add(s.News))
+		s.staleUntil = deadline.Later(s.staleUntil, n.Add(s.EntriesDelay))
 	}
-	u := !ok || d >= s.After || n.Before(s.staleUntil)
+	u := !ok || d >= s.MaxAge || n.Before(s.staleUntil)
 	s.logChange(u && ok, d)
 	return u
 }
 
 // logChange logs a change of the state. Before the first answer of the store nothing is
 // logged.
-func (s *Silence) logChange(stale bool, age time.Duration) {
+func (s *Storesilence) logChange(stale bool, age time.Duration) {
 	switch {
 	case stale && !s.logged:
 		s.Log.Warn("changes may be unheard", "StoreAge", age)
--- a/silence/silence_test.go
+++ b/storesilence/storesilence_test.go
@@ -1,4 +1,4 @@
-package silence
+package storesilence
 
 import (
 	"io"
@@ -19,17 +19,17 @@
 	return slices.ContainsFunc(l, func(v float64) bool { return d == time.Duration(v*float64(time.Second)) })
 }
 
-// missingDuration returns for how long Unheard reports true in 20 s if the store answers at
-// the times of answers, and on the entries at those of entries.
+// missingDuration returns for how long ChangesMissing reports true in 20 s if the store
+// answers at the times of answers, and on the entries at those of entries.
 func missingDuration(answers, entries seconds) (missing time.Duration) {
 	c := clockwork.NewFakeClock()
 	b := c.Now()
 	var answered, read time.Time
-	s := &Silence{
-		Clock: c, Log: log.New(io.Discard), After: 3900 * time.Millisecond, Long: 5 * time.Second, Settle: 2 * time.Second,
-		News:    400 * time.Millisecond,
-		Age:     func() (time.Duration, bool) { return c.Since(answered), !answered.IsZero() },
-		Entries: func() (time.Duration, bool) { return c.Since(read), !read.IsZero() },
+	s := &Storesilence{
+		Clock: c, Log: log.New(io.Discard), MaxAge: 3900 * time.Millisecond, LongSilence: 5 * time.Second, Settle: 2 * time.Second,
+		EntriesDelay: 400 * time.Millisecond,
+		Age:          func() (time.Duration, bool) { return c.Since(answered), !answered.IsZero() },
+		EntriesAge:   func() (time.Duration, bool) { return c.Since(read), !read.IsZero() },
 	}
 	for c.Since(b) < 20*time.Second {
 		c.Advance(checkInterval)
@@ -39,7 +39,7 @@
 		if entries.contains(c.Since(b)) {
 			read = c.Now()
 		}
-		if s.Unheard() {
+		if s.ChangesMissing() {
 			missing += checkInterval
 		}
 	}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -14,8 +14,8 @@
 
 	"celeryreach.example/celeryreach/backend"
 	"celeryreach.example/celeryreach/request"
-	"celeryreach.example/celeryreach/sealconn"
-	"celeryreach.example/celeryreach/whole"
+	"celeryreach.example/celeryreach/responsecopier"
+	"celeryreach.example/celeryreach/sealableconn"
 )
 
 // Header fields that are sent to backend servers.
@@ -41,9 +41,9 @@
 // request.
 var ErrNotRun = errors.New("the backend server refused the request without running it")
 
-// ErrElsewhere is returned if the address now belongs to another backend server, which
-// did not run the request.
-var ErrElsewhere = errors.New("another backend server has the address")
+// ErrWrongBackend is returned if the address now belongs to another backend server,
+// which did not run the request.
+var ErrWrongBackend = errors.New("another backend server has the address")
 
 // Upstream sends requests through the transports of net/http.
 type Upstream struct {
@@ -51,24 +51,25 @@
 	Clock clockwork.Clock
 	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
-	// Dress sets the header fields that a backend server receives in addition to those
-	// of the caller; left is the time until the deadline. Nil sets IDHeader and
+	// SetHeaders sets the header fields that a backend server receives in addition to
+	// those of the caller; left is the time until the deadline. Nil sets IDHeader and
 	// TimeoutHeader.
-	Dress func(h http.Header, r *request.Request, b backend.Backend, left time.Duration)
-	// Verdict checks a response. It returns ErrNotRun, or the reason why the response
-	// cannot be passed on. Nil applies the rules of this package.
-	Verdict func(p *http.Response, r *request.Request, b backend.Backend) (ran bool, err error)
-	// Keep allows kept-alive connections for non-idempotent requests too.
-	Keep bool
+	SetHeaders func(h http.Header, r *request.Request, b backend.Backend, left time.Duration)
+	// CheckResponse checks a response. It returns ErrNotRun, or the reason why the
+	// response cannot be passed on. Nil applies the rules of this package.
+	CheckResponse func(p *http.Response, r *request.Request, b backend.Backend) (ran bool, err error)
+	// ReuseForNonIdempotent allows kept-alive connections for non-idempotent requests
+	// too.
+	ReuseForNonIdempotent bool
 	// Dial opens a connection to a backend server; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Heard is called with the header of each response that is proven to be from b,
-	// and with the time at which its request was sent. Served is false if b refused
+	// OnResponse is called with the header of each response that is proven to be from
+	// b, and with the time at which its request was sent. Served is false if b refused
 	// the request without running it, or failed. Nil disables the call.
-	Heard func(b backend.Backend, sent time.Time, h http.Header, served bool)
-	// Repeated is called when net/http by itself sends a request to b again on another
-	// connection. Nil disables the call.
-	Repeated func(b backend.Backend)
+	OnResponse func(b backend.Backend, sent time.Time, h http.Header, served bool)
+	// OnTransportRetry is called when net/http by itself sends a request to b again on
+	// another connection. Nil disables the call.
+	OnTransportRetry func(b backend.Backend)
 
 	// keepAlive reuses idle connections; singleUse opens one for each request.
 	keepAlive http.Transport
@@ -97,22 +98,23 @@
 }
 
 // Send sends r to b, on a new connection if fresh is set or if r is not idempotent and
-// Keep is not set. Ran is false only if it is proven that b did not run r: either no
-// byte was written and none can be written later, or b itself reports it.
+// ReuseForNonIdempotent is not set. Ran is false only if it is proven that b did not
+// run r: either no byte was written and none can be written later, or b itself reports
+// it.
 func (u *Upstream) Send(ctx context.Context, r *request.Request, b backend.Backend, fresh bool) (p *http.Response, ran bool, err error) {
 	c := &connTracker{onRepeat: func() {
-		if u.Repeated != nil {
-			u.Repeated(b)
+		if u.OnTransportRetry != nil {
+			u.OnTransportRetry(b)
 		}
 	}}
 	x := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: c.gotConn})
-	y := &body{reader: r.Body, readStarted: r.Touched}
+	y := &body{reader: r.Body, readStarted: r.BodyReadStarted}
 	q, err := u.newRequest(x, r, b, y)
 	if err != nil {
 		return nil, false, err
 	}
 	t := &u.keepAlive
-	if fresh || r.NonIdempotent && !u.Keep {
+	if fresh || r.NonIdempotent && !u.ReuseForNonIdempotent {
 		t = &u.singleUse
 	}
 	s := u.Clock.Now()
@@ -130,11 +132,11 @@
 	return p, true, nil
 }
 
-// reportAnswer passes the header of a response to Heard if the response is proven to
-// be from b.
+// reportAnswer passes the header of a response to OnResponse if the response is proven
+// to be from b.
 func (u *Upstream) reportAnswer(b backend.Backend, sent time.Time, p *http.Response, err error) {
-	if u.Heard != nil && (err == nil || errors.Is(err, ErrNotRun)) {
-		u.Heard(b, sent, p.Header, err == nil && p.StatusCode < http.StatusInternalServerError)
+	if u.OnResponse != nil && (err == nil || errors.Is(err, ErrNotRun)) {
+		u.OnResponse(b, sent, p.Header, err == nil && p.StatusCode < http.StatusInternalServerError)
 	}
 }
 
@@ -155,8 +157,8 @@
 		q.Host = r.Host
 	}
 	d := r.Deadline.Sub(u.Clock.Now())
-	if u.Dress != nil {
-		u.Dress(q.Header, r, b, d)
+	if u.SetHeaders != nil {
+		u.SetHeaders(q.Header, r, b, d)
 	} else {
 		q.Header.Set(IDHeader, r.ID)
 		q.Header.Set(TimeoutHeader, d.String())
@@ -168,10 +170,10 @@
 	return q, nil
 }
 
-// checkAnswer applies Verdict, or the rules of this package if it is nil.
+// checkAnswer applies CheckResponse, or the rules of this package if it is nil.
 func (u *Upstream) checkAnswer(p *http.Response, r *request.Request, b backend.Backend) (ran bool, err error) {
-	if u.Verdict != nil {
-		return u.Verdict(p, r, b)
+	if u.CheckResponse != nil {
+		return u.CheckResponse(p, r, b)
 	}
 	return u.checkEcho(p, r, b)
 }
@@ -190,7 +192,7 @@
 		return true, errors.New("the answer belongs to another request")
 	case p.StatusCode == http.StatusSwitchingProtocols:
 		return true, errors.New("the backend server changed the protocol")
-	case p.StatusCode == http.StatusServiceUnavailable && p.Header.Get(whole.NotRunHeader) != "":
+	case p.StatusCode == http.StatusServiceUnavailable && p.Header.Get(responsecopier.NotRunHeader) != "":
 		return false, ErrNotRun
 	default:
 		return true, nil
@@ -204,7 +206,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return &sealconn.Sealconn{Conn: c}, nil
+		return &sealableconn.Sealableconn{Conn: c}, nil
 	}
 	d := net.Dialer{Timeout: u.DialTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount,
@@ -213,5 +215,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return &sealconn.Sealconn{Conn: c}, nil
+	return &sealableconn.Sealableconn{Conn: c}, nil
 }
