--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -26,9 +26,9 @@
 // testQuota is a quota whose grant is set by the test.
 type testQuota struct {
 	*quota.Quota
-	clock *clockwork.FakeClock
-	grant grant.Grant
-	asked []uint64
+	clock     *clockwork.FakeClock
+	grant     grant.Grant
+	requested []uint64
 }
 
 // newTestQuota returns a quota with one account "a" with 10 requests per second
@@ -110,10 +110,10 @@
 	b := newTestQuota()
 	must.True(t, b.Take("a"))
 	n := b.clock.Now()
-	must.True(t, b.Confirm("a", n))
+	must.True(t, b.ConfirmToken("a", n))
 	b.clock.Advance(10 * time.Second)
 	b.grant = grant.Grant{}
-	must.False(t, b.Confirm("a", n))
+	must.False(t, b.ConfirmToken("a", n))
 }
 
 // A request that ended with "not run" gives its token back, but the bucket
@@ -121,10 +121,10 @@
 func TestReturn(t *testing.T) {
 	b := newTestQuota()
 	must.Eq(t, 4, b.drain())
-	b.Return("a")
+	b.Refund("a")
 	must.Eq(t, 1, b.drain())
 	for range 9 {
-		b.Return("a")
+		b.Refund("a")
 	}
 	must.Eq(t, 4, b.drain())
 }
@@ -159,16 +159,16 @@
 func TestBorrowed(t *testing.T) {
 	b := newTestQuota()
 	b.grant = grant.Grant{}
-	b.Borrow = func(_ string, u uint64) { b.asked = append(b.asked, u) }
-	must.True(t, b.Join("a", time.Second))
-	must.Eq(t, []uint64{1}, b.asked)
+	b.Borrow = func(_ string, u uint64) { b.requested = append(b.requested, u) }
+	must.True(t, b.StartWaiting("a", time.Second))
+	must.Eq(t, []uint64{1}, b.requested)
 	b.Receive("a", 1, 5, b.clock.Now().Add(time.Second))
-	_, ok := b.Try("a", true)
+	_, ok := b.TryTake("a", true)
 	must.True(t, ok)
-	_, ok = b.Try("a", true)
+	_, ok = b.TryTake("a", true)
 	must.False(t, ok)
 	b.Receive("a", 1, 1, b.clock.Now().Add(-time.Millisecond))
-	_, ok = b.Try("a", true)
+	_, ok = b.TryTake("a", true)
 	must.False(t, ok)
 }
 
@@ -190,7 +190,7 @@
 			x := newTestQuota()
 			x.Account = s.Account
 			x.Clock = clockwork.NewRealClock()
-			x.Grant = newHolding(x.Clock).Rate
+			x.Grant = newEntitlement(x.Clock).Rate
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
@@ -204,9 +204,9 @@
 	}
 }
 
-// newHolding returns the entitlement of a host that is the only holder of the first
+// newEntitlement returns the entitlement of a host that is the only holder of the first
 // epoch.
-func newHolding(c clockwork.Clock) *entitlement.Entitlement {
+func newEntitlement(c clockwork.Clock) *entitlement.Entitlement {
 	s := holder.Holder{Name: "h", Domain: "d"}
 	h := &entitlement.Entitlement{Clock: c, Self: s, Hold: time.Hour, StoreHold: time.Hour}
 	h.Tick()
@@ -221,7 +221,7 @@
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
 			x := newTestQuota()
 			x.Account = func(n string) (account.Account, bool) { return account.Account{Name: n, Rate: 10, Burst: 4}, true }
-			x.Grant = newHolding(x.clock).Rate
+			x.Grant = newEntitlement(x.clock).Rate
 			for i := range n {
 				x.Take(fmt.Sprintf("account-%d", i))
 			}
--- a/quotaexperiment/load.go
+++ b/quotaexperiment/load.go
@@ -99,25 +99,25 @@
 		return
 	}
 	q := p.simulation.Quota(h)
-	if _, ok := q.Try(o.account.Name, false); ok {
+	if _, ok := q.TryTake(o.account.Name, false); ok {
 		p.recordAdmission(o, w)
 		return
 	}
-	if q.Join(o.account.Name, maxWait) {
+	if q.StartWaiting(o.account.Name, maxWait) {
 		p.retryWaiting(o, w, h, n.Add(maxWait))
 	}
 }
 
 func (p *trial) retryWaiting(o *accountLoad, w *windowCount, host int, until time.Time) {
 	q := p.simulation.Quota(host)
-	d, ok := q.Try(o.account.Name, true)
+	d, ok := q.TryTake(o.account.Name, true)
 	if ok {
 		p.recordAdmission(o, w)
-		q.Leave(o.account.Name)
+		q.StopWaiting(o.account.Name)
 		return
 	}
 	if p.simulation.Now().Add(d).After(until) || !p.simulation.Runs(host) {
-		q.Leave(o.account.Name)
+		q.StopWaiting(o.account.Name)
 		return
 	}
 	p.simulation.At(d, func() { p.retryWaiting(o, w, host, until) })
--- a/receive/bench_test.go
+++ b/receive/bench_test.go
@@ -61,8 +61,8 @@
 	})
 	return &forward.Forward{
 		Clock: c, Version: func() uint64 { return 0 }, Limit: 10, Open: p.Open,
-		Link:    func(string, int64) (func(int64), time.Duration, bool) { return func(int64) {}, 0, true },
-		Targets: func(string) []member.Member { return []member.Member{{PeerAddress: l.Addr().String()}} },
+		ReserveLink: func(string, int64) (func(int64), time.Duration, bool) { return func(int64) {}, 0, true },
+		Targets:     func(string) []member.Member { return []member.Member{{PeerAddress: l.Addr().String()}} },
 	}
 }
 
--- a/receive/body.go
+++ b/receive/body.go
@@ -15,14 +15,14 @@
 // frames even while nothing reads the body, so that a disconnected or silent
 // sender is noticed while the request waits for a slot.
 type body struct {
-	stream   wire.DRPCPeer_ForwardStream
-	pulse    *keepalive.Keepalive
-	ctx      context.Context //nolint:containedctx // cancels blocked reads
-	chunks   chan []byte
-	ended    chan error
-	once     sync.Once
-	buffered []byte
-	err      error
+	stream    wire.DRPCPeer_ForwardStream
+	keepalive *keepalive.Keepalive
+	ctx       context.Context //nolint:containedctx // cancels blocked reads
+	chunks    chan []byte
+	ended     chan error
+	once      sync.Once
+	buffered  []byte
+	err       error
 }
 
 // receiveFrames passes on the chunks of the body until the stream ends, and
@@ -32,9 +32,9 @@
 	defer cancel()
 	w := false
 	for {
-		b.pulse.Wait()
+		b.keepalive.StartWaiting()
 		m, err := b.stream.Recv()
-		b.pulse.Received()
+		b.keepalive.Received()
 		switch {
 		case err != nil && !w && errors.Is(err, io.EOF):
 			b.ended <- io.ErrUnexpectedEOF
--- a/receive/receive.go
+++ b/receive/receive.go
@@ -75,10 +75,10 @@
 func (v *Receive) run(s wire.DRPCPeer_ForwardStream, r *request.Request, hasBody bool, w *answerWriter) outcome.Outcome {
 	x, c := context.WithCancel(s.Context())
 	p := &keepalive.Keepalive{
-		Clock: v.Clock, Every: keepaliveInterval, First: maxSilence, Silence: maxSilence, Lost: c,
+		Clock: v.Clock, Interval: keepaliveInterval, MaxFirstSilence: maxSilence, MaxSilence: maxSilence, OnLost: c,
 		Send: func() error { return s.Send(&wire.Frame{Part: &wire.Frame_Alive{Alive: true}}) },
 	}
-	b := &body{stream: s, pulse: p, ctx: x, chunks: make(chan []byte), ended: make(chan error, 1)}
+	b := &body{stream: s, keepalive: p, ctx: x, chunks: make(chan []byte), ended: make(chan error, 1)}
 	if hasBody {
 		r.Body = b
 	}
@@ -119,7 +119,7 @@
 	}
 	s := v.Snapshot()
 	if s == nil {
-		return r, refusal(outcome.NoCapacity, "the receiving host has no configuration yet")
+		return r, refusedOutcome(outcome.NoCapacity, "the receiving host has no configuration yet")
 	}
 	c, ok := s.Key(h.KeyId)
 	switch {
@@ -127,9 +127,9 @@
 	case s.Config.Version < h.ConfigVersion:
 		// The sender has a newer configuration, so the key may be new. It must
 		// not be reported as withdrawn.
-		return r, refusal(outcome.NoCapacity, "the host has an older configuration")
+		return r, refusedOutcome(outcome.NoCapacity, "the host has an older configuration")
 	default:
-		return r, refusal(outcome.KeyUnknown, "the key was withdrawn")
+		return r, refusedOutcome(outcome.KeyUnknown, "the key was withdrawn")
 	}
 	r.Credential = c
 	for _, x := range s.Config.Services {
@@ -139,10 +139,10 @@
 			return r, outcome.Outcome{}
 		}
 	}
-	return r, refusal(outcome.NoCapacity, "the service is not configured on the receiving host")
+	return r, refusedOutcome(outcome.NoCapacity, "the service is not configured on the receiving host")
 }
 
-func refusal(o, m string) outcome.Outcome {
+func refusedOutcome(o, m string) outcome.Outcome {
 	return outcome.Outcome{Outcome: o, Ran: outcome.RanNo, Message: m, RetryAfter: time.Second}
 }
 
--- a/receive/receive_test.go
+++ b/receive/receive_test.go
@@ -43,7 +43,7 @@
 	r := &harness{clock: clockwork.NewFakeClock(), in: make(chan *wire.Frame), ended: make(chan struct{})}
 	c := &config.Config{Version: 5, Services: []service.Service{{Name: "s"}}, Keys: []credential.Credential{{Hash: "k", Account: "a"}}}
 	s := snapshot.New(c, "")
-	r.receive = &Receive{Clock: r.clock, Snapshot: func() *snapshot.Snapshot { return s }, Serve: r.run, Admit: r.admission}
+	r.receive = &Receive{Clock: r.clock, Snapshot: func() *snapshot.Snapshot { return s }, Serve: r.run, Admit: r.admitRequest}
 	return r
 }
 
@@ -53,7 +53,7 @@
 	r.out = append(r.out, fmt.Sprintf(f, a...))
 }
 
-func (r *harness) admission(_ *request.Request, region string) (func(outcome.Outcome, int64), outcome.Outcome) {
+func (r *harness) admitRequest(_ *request.Request, region string) (func(outcome.Outcome, int64), outcome.Outcome) {
 	if r.admit != "" {
 		return nil, outcome.Outcome{Outcome: r.admit, Ran: outcome.RanNo}
 	}
@@ -86,7 +86,7 @@
 
 type stream struct {
 	wire.DRPCPeer_ForwardStream
-	rig           *harness
+	harness       *harness
 	ctx           context.Context
 	keepaliveSeen atomic.Bool
 }
@@ -95,7 +95,7 @@
 
 func (s *stream) Recv() (*wire.Frame, error) {
 	select {
-	case m, ok := <-s.rig.in:
+	case m, ok := <-s.harness.in:
 		if !ok {
 			return nil, io.EOF
 		}
@@ -111,18 +111,18 @@
 		// Only the first keepalive is recorded, because the number of further
 		// ones depends on how long the request takes.
 		if s.keepaliveSeen.CompareAndSwap(false, true) {
-			s.rig.note("alive")
+			s.harness.note("alive")
 		}
 	case *wire.Frame_BodyWanted:
-		s.rig.note("wanted")
+		s.harness.note("wanted")
 	case *wire.Frame_Answer:
-		s.rig.note("head=%d", v.Answer.Status)
+		s.harness.note("head=%d", v.Answer.Status)
 	case *wire.Frame_Body:
-		s.rig.note("body=%s", v.Body)
+		s.harness.note("body=%s", v.Body)
 	case *wire.Frame_End:
-		s.rig.note("end")
+		s.harness.note("end")
 	case *wire.Frame_Refusal:
-		s.rig.note("refuse=%s,%s", v.Refusal.Outcome, v.Refusal.Ran)
+		s.harness.note("refuse=%s,%s", v.Refusal.Outcome, v.Refusal.Ran)
 	}
 	return nil
 }
@@ -135,7 +135,7 @@
 			e.Values["rig"] = r
 			x, f := context.WithCancel(context.Background())
 			go func() {
-				r.err = r.receive.Stream(&stream{rig: r, ctx: x})
+				r.err = r.receive.Stream(&stream{harness: r, ctx: x})
 				f()
 				close(r.ended)
 			}()
--- a/regionavailability/regionavailability.go
+++ b/regionavailability/regionavailability.go
@@ -19,10 +19,10 @@
 	// initialFreeRequests is the number of unrestricted requests that count as received
 	// at the start, so that the first few requests do not decide.
 	initialFreeRequests = 40
-	// minLeft is the fraction of a region that stays available to unrestricted requests
+	// minAvailable is the fraction of a region that stays available to unrestricted requests
 	// regardless of the demand of restricted ones, so that hosts keep measuring the
 	// region.
-	minLeft = 0.05
+	minAvailable = 0.05
 	// minChange is the smallest change of a fraction that takes effect. Smaller changes
 	// would move objects back and forth, at different times on each host.
 	minChange = 0.2
@@ -31,8 +31,8 @@
 // Regionavailability counts the requests for one service that this host receives. It is
 // not safe for concurrent use; the owner must hold its lock.
 type Regionavailability struct {
-	// Changed is called when the available fraction of a region changes. It may be nil.
-	Changed func(region string, left float64)
+	// OnChange is called when the available fraction of a region changes. It may be nil.
+	OnChange func(region string, available float64)
 
 	regions   map[string]*region
 	slots     float64 // of all regions
@@ -41,9 +41,9 @@
 }
 
 type region struct {
-	slots float64
-	bound float64 // requests that are restricted to this region
-	left  float64 // the available fraction that is in effect
+	slots      float64
+	restricted float64 // requests that are restricted to this region
+	available  float64 // the available fraction that is in effect
 }
 
 // SetSlots sets the number of slots of each region. Counted requests are kept.
@@ -53,13 +53,13 @@
 	for n, s := range slots {
 		r := o[n]
 		if r == nil {
-			r = &region{left: 1}
+			r = &region{available: 1}
 		}
 		r.slots = float64(s)
 		b.regions[n] = r
 		b.slots += r.slots
 	}
-	b.updateLeft()
+	b.updateAvailable()
 }
 
 // Count counts a request that may be served in the regions for which homes returns
@@ -67,13 +67,13 @@
 func (b *Regionavailability) Count(homes func(region string) bool, now time.Time) {
 	b.decay(now)
 	b.requests++
-	b.countBound(homes)
-	b.updateLeft()
+	b.countRestricted(homes)
+	b.updateAvailable()
 }
 
-// countBound counts a request for the regions that may serve it, unless all of them
+// countRestricted counts a request for the regions that may serve it, unless all of them
 // may.
-func (b *Regionavailability) countBound(homes func(region string) bool) {
+func (b *Regionavailability) countRestricted(homes func(region string) bool) {
 	if homes == nil {
 		return
 	}
@@ -88,7 +88,7 @@
 	}
 	for n, r := range b.regions {
 		if homes(n) {
-			r.bound += r.slots / s
+			r.restricted += r.slots / s
 		}
 	}
 }
@@ -97,7 +97,7 @@
 // which may be served anywhere.
 func (b *Regionavailability) Available(name string) float64 {
 	if r := b.regions[name]; r != nil {
-		return r.left
+		return r.available
 	}
 	return 1
 }
@@ -110,26 +110,26 @@
 		f := math.Exp(-float64(now.Sub(b.countedAt)) / float64(decayTime))
 		b.requests *= f
 		for _, r := range b.regions {
-			r.bound *= f
+			r.restricted *= f
 		}
 	}
 	b.countedAt = now
 }
 
-// updateLeft compares each region's share of the requests, counting those restricted to
+// updateAvailable compares each region's share of the requests, counting those restricted to
 // it, with its share of the slots.
-func (b *Regionavailability) updateLeft() {
+func (b *Regionavailability) updateAvailable() {
 	for n, r := range b.regions {
 		l := 1.0
-		if r.bound > 0 {
-			l = max(1-(r.bound/b.requests)/(r.slots/b.slots), minLeft)
+		if r.restricted > 0 {
+			l = max(1-(r.restricted/b.requests)/(r.slots/b.slots), minAvailable)
 		}
-		if math.Abs(l-r.left) <= minChange {
+		if math.Abs(l-r.available) <= minChange {
 			continue
 		}
-		r.left = l
-		if b.Changed != nil {
-			b.Changed(n, l)
+		r.available = l
+		if b.OnChange != nil {
+			b.OnChange(n, l)
 		}
 	}
 }
--- a/regionavailability/regionavailability_test.go
+++ b/regionavailability/regionavailability_test.go
@@ -35,7 +35,7 @@
 func TestLeft(t *testing.T) {
 	for _, m := range mixes {
 		t.Run(m.name, func(t *testing.T) {
-			b := newBinding()
+			b := newAvailability()
 			countEvenly(b, time.Unix(0, 0), 3*time.Minute, m.homes)
 			must.InDelta(t, m.left, b.Available("lagos"), tolerance)
 		})
@@ -46,7 +46,7 @@
 // Unrestricted requests must be able to use its former region again; otherwise callers
 // near that region wait for the longer way to another one.
 func TestUnneededRegionIsReleased(t *testing.T) {
-	b := newBinding()
+	b := newAvailability()
 	countEvenly(b, time.Unix(0, 0), time.Minute, []string{"lagos"})
 	must.Less(t, 0.05+tolerance, b.Available("lagos"))
 	countEvenly(b, time.Unix(60, 0), 3*time.Minute, nil)
@@ -56,7 +56,7 @@
 // The list of backend servers changes every few seconds. An update must keep the
 // counts, because starting from zero each time would move objects back and forth.
 func TestFitKeepsCounts(t *testing.T) {
-	b := newBinding()
+	b := newAvailability()
 	countEvenly(b, time.Unix(0, 0), time.Minute, []string{"lagos"})
 	l := b.Available("lagos")
 	b.SetSlots(map[string]int{"lagos": 20, "abuja": 20, "kano": 19})
@@ -68,7 +68,7 @@
 // A single request more or less must not move an object, so the fraction changes only
 // in steps.
 func TestSmallChangesAreIgnored(t *testing.T) {
-	b := newBinding()
+	b := newAvailability()
 	changes, last := 0, 1.0
 	for i := range 2000 {
 		var h []string
@@ -83,7 +83,7 @@
 	must.LessEq(t, 1, changes)
 }
 
-func newBinding() *regionavailability.Regionavailability {
+func newAvailability() *regionavailability.Regionavailability {
 	b := new(regionavailability.Regionavailability)
 	b.SetSlots(map[string]int{"lagos": 20, "abuja": 20, "kano": 20})
 	return b
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -75,7 +75,7 @@
 	r.mu.Unlock()
 	for _, p := range r.Replicas {
 		for _, x := range v {
-			if x.Kind == p.Kind && p.Compare(x, from) {
+			if x.Kind == p.Kind && p.IsBehind(x, from) {
 				r.Wake()
 			}
 		}
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// Pass fetches newer versions and then notifies the peers that are behind.
-func (r *Relay) Pass(ctx context.Context) {
+// Sync fetches newer versions and then notifies the peers that are behind.
+func (r *Relay) Sync(ctx context.Context) {
 	for _, p := range r.Replicas {
 		r.fetch(ctx, p)
 	}
--- a/relaybenchmark/relaybenchmark.go
+++ b/relaybenchmark/relaybenchmark.go
@@ -99,7 +99,7 @@
 // round is thus one notice and one fetch.
 func (t *Relaybenchmark) runRound(ctx context.Context, version uint64) {
 	for _, x := range t.nodesWith(version, true) {
-		x.relay.Pass(ctx)
+		x.relay.Sync(ctx)
 	}
 	var h []*node
 	for _, x := range t.nodesWith(version, false) {
@@ -108,7 +108,7 @@
 		}
 	}
 	for _, x := range h {
-		x.relay.Pass(ctx)
+		x.relay.Sync(ctx)
 	}
 }
 
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -44,13 +44,13 @@
 	Clock clockwork.Clock
 	// PollInterval returns the time until the next read.
 	PollInterval func() time.Duration
-	// Polled is called after each read that the platform answered. It may be nil.
-	Polled func()
+	// OnPoll is called after each read that the platform answered. It may be nil.
+	OnPoll func()
 	// Apply puts a content in force. If it returns an error, the content is
 	// rejected.
 	Apply func(version uint64, hash string, content []byte) error
-	// Changed is called after a version was applied. It may be nil.
-	Changed func()
+	// OnChange is called after a version was applied. It may be nil.
+	OnChange func()
 
 	platformRead atomic.Bool
 	applying     sync.Mutex
@@ -85,11 +85,11 @@
 	return r.divergences
 }
 
-// Compare reports whether a peer's digest has a higher version. Two contents with
+// IsBehind reports whether a peer's digest has a higher version. Two contents with
 // the same version can only result from a platform that lost what it had accepted.
 // The host then keeps its own content, because replacing it would revert what is in
 // force, and logs an error.
-func (r *Replica) Compare(v *wire.Version, from string) bool {
+func (r *Replica) IsBehind(v *wire.Version, from string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if v.Version == r.version && !strings.HasPrefix(r.hash, v.Hash) {
@@ -108,8 +108,8 @@
 		}
 		if err == nil {
 			r.platformRead.Store(true)
-			if r.Polled != nil {
-				r.Polled()
+			if r.OnPoll != nil {
+				r.OnPoll()
 			}
 		}
 		select {
@@ -135,7 +135,7 @@
 	if err := codec.Unmarshal(w.Value, &a); err != nil {
 		return errors.Wrap(err, r.Kind)
 	}
-	if !r.Compare(&wire.Version{Version: a.Version, Hash: a.Hash}, "platform") {
+	if !r.IsBehind(&wire.Version{Version: a.Version, Hash: a.Hash}, "platform") {
 		return nil
 	}
 	b, err := r.Platform.GetObject(ctx, acceptedversion.ObjectName(r.Key, a.Hash))
@@ -175,8 +175,8 @@
 	r.content = content
 	r.mu.Unlock()
 	r.Log.Info("new version applied", "Kind", r.Kind, "Version", version)
-	if r.Changed != nil {
-		r.Changed()
+	if r.OnChange != nil {
+		r.OnChange()
 	}
 	return nil
 }
--- a/report/builder.go
+++ b/report/builder.go
@@ -15,9 +15,9 @@
 
 // builder aggregates the counts of all hosts.
 type builder struct {
-	config   *config.Config
-	hostSums []hostcounts.Hostcounts
-	now      time.Time
+	config     *config.Config
+	hostCounts []hostcounts.Hostcounts
+	now        time.Time
 	// wrongfulBySecond holds the wrongful refusals by account and Unix second.
 	wrongfulBySecond map[string]map[int64]uint64
 	// aggregates holds the counts by window, service, account and region. The
@@ -33,7 +33,7 @@
 }
 
 func newBuilder(c *config.Config, all []hostcounts.Hostcounts, now time.Time) *builder {
-	b := &builder{config: c, hostSums: all, now: now, wrongfulBySecond: make(map[string]map[int64]uint64), aggregates: make(map[time.Duration]map[scope]*requestcounts.Requestcounts)}
+	b := &builder{config: c, hostCounts: all, now: now, wrongfulBySecond: make(map[string]map[int64]uint64), aggregates: make(map[time.Duration]map[scope]*requestcounts.Requestcounts)}
 	var s []secondcount.Secondcount
 	for _, v := range all {
 		s = append(s, v.Seconds...)
@@ -51,7 +51,7 @@
 func (b *builder) aggregate(window time.Duration) map[scope]*requestcounts.Requestcounts {
 	r := make(map[scope]*requestcounts.Requestcounts)
 	m := b.now.Add(-window).Unix() / 60
-	for _, h := range b.hostSums {
+	for _, h := range b.hostCounts {
 		for _, v := range h.Tallies {
 			if v.Minute <= m {
 				continue
--- a/report/measures.go
+++ b/report/measures.go
@@ -45,7 +45,7 @@
 	m := b.now.Add(-recentWindow).Unix() / 60
 	for _, g := range b.config.Regions {
 		var slots, busy uint64
-		for _, h := range b.hostSums {
+		for _, h := range b.hostCounts {
 			for _, u := range h.Usages {
 				if h.Region == g.Name && u.Service == o.Service && u.Minute > m {
 					slots += u.Slots
@@ -71,7 +71,7 @@
 		}
 	}
 	var r []drain
-	for _, h := range b.hostSums {
+	for _, h := range b.hostCounts {
 		for _, d := range h.Drains {
 			x := drain{Backend: d.Backend, Host: h.Host, At: d.At, Took: d.Took, Target: t[d.Backend]}
 			x.Met = x.Target == 0 || x.Took <= x.Target
@@ -86,7 +86,7 @@
 // comes from a newer host; it is skipped, so Answers does not include its answers.
 func (b *builder) latency(o objective.Objective) []latency {
 	var m *hdrhistogram.Histogram
-	for _, h := range b.hostSums {
+	for _, h := range b.hostCounts {
 		e, ok := h.Latencies[o.Service]
 		if !ok {
 			continue
@@ -115,7 +115,7 @@
 // and for complete answers.
 func (b *builder) burnByMinute(o objective.Objective) []burnPoint {
 	m := make(map[int64]*requestcounts.Requestcounts)
-	for _, h := range b.hostSums {
+	for _, h := range b.hostCounts {
 		for _, v := range h.Tallies {
 			if v.Service != o.Service {
 				continue
--- a/request/request.go
+++ b/request/request.go
@@ -44,10 +44,10 @@
 	// AllowsRegion reports whether a region may serve the request; nil allows all
 	// regions.
 	AllowsRegion func(region string) bool
-	// Tried holds the backend servers that the request was sent to.
-	Tried *attempted.Attempted
-	// Trail collects the decisions on the request for the log.
-	Trail *decisionlog.Decisionlog
+	// AttemptedBackends holds the backend servers that the request was sent to.
+	AttemptedBackends *attempted.Attempted
+	// DecisionLog collects the decisions on the request for the log.
+	DecisionLog *decisionlog.Decisionlog
 	// Method is the HTTP method.
 	Method string
 	// Target is the path and query.
@@ -72,7 +72,7 @@
 	NonIdempotent bool
 	// IdempotencyID is the id that the caller gave a non-idempotent request.
 	IdempotencyID string
-	// Gate decides once whether the request is sent or given up; nil if only the
+	// SendGate decides once whether the request is sent or given up; nil if only the
 	// request's context decides.
-	Gate *sendgate.Sendgate
+	SendGate *sendgate.Sendgate
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -25,10 +25,10 @@
 	SilentDomains []string `json:",omitzero"`
 }
 
-// Of returns the rollout state of a version. own is the version of this host
+// Compute returns the rollout state of a version. own is the version of this host
 // itself; last returns the latest heartbeat of a host that is alive; known are the
 // hosts that the platform lists or that have sent heartbeats since the start.
-func Of(version, own uint64, self member.Member, known []member.Member, domains []string, last func(name string) (*wire.Heartbeat, bool)) Rollout {
+func Compute(version, own uint64, self member.Member, known []member.Member, domains []string, last func(name string) (*wire.Heartbeat, bool)) Rollout {
 	r := Rollout{Version: version}
 	r.add(self.Name, own)
 	h := map[string]bool{self.Domain: true}
--- a/routeindex/routeindex.go
+++ b/routeindex/routeindex.go
@@ -74,12 +74,12 @@
 func (b *Routeindex) withdrawnKeys(before *Routeindex) []withdrawal {
 	var l []withdrawal
 	for _, w := range before.withdrawn {
-		if !b.Holds(w.hash) {
+		if !b.HasKey(w.hash) {
 			l = append(l, w)
 		}
 	}
 	for _, k := range before.Config.Keys {
-		if before.Holds(k.Hash) && !b.Holds(k.Hash) {
+		if before.HasKey(k.Hash) && !b.HasKey(k.Hash) {
 			l = append(l, withdrawal{hash: k.Hash, version: b.Config.Version})
 		}
 	}
@@ -102,8 +102,8 @@
 	return b.keys[credential.Hash(key)]
 }
 
-// Holds reports whether a client account holds the key with this hash.
-func (b *Routeindex) Holds(hash string) bool {
+// HasKey reports whether a client account holds the key with this hash.
+func (b *Routeindex) HasKey(hash string) bool {
 	return b.keys[hash] != nil
 }
 
@@ -124,7 +124,7 @@
 	return b.services[name]
 }
 
-// Keyed reports whether requests on routes that aren't public need a key.
-func (b *Routeindex) Keyed() bool {
+// RequiresKeys reports whether requests on routes that aren't public need a key.
+func (b *Routeindex) RequiresKeys() bool {
 	return len(b.Config.Accounts) > 0
 }
--- a/sealableconn/sealableconn.go
+++ b/sealableconn/sealableconn.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// Sealableconn is a connection that records whether it was written to since Mark. A
+// Sealableconn is a connection that records whether it was written to since StartRequest. A
 // failed request alone proves nothing, because net/http may still be writing it
 // in another goroutine when it returns the error. Seal rules this out: after
 // Seal, no write can reach the connection.
@@ -21,8 +21,8 @@
 	sealed bool
 }
 
-// Mark starts a new request on the connection.
-func (s *Sealableconn) Mark() {
+// StartRequest starts a new request on the connection.
+func (s *Sealableconn) StartRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wrote = false
@@ -41,7 +41,7 @@
 }
 
 // Seal prevents all further writes, and reports whether nothing was written
-// since Mark.
+// since StartRequest.
 func (s *Sealableconn) Seal() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/separation/scenario_test.go
+++ b/separation/scenario_test.go
@@ -162,7 +162,7 @@
 	case ok:
 		s.print("%s: accepted %d", h.self.Name, a.Version)
 	default:
-		c := *h.follower.Snapshot().Config
+		c := *h.configFollower.Snapshot().Config
 		editConfig(s, &c, e)
 		x := (&configcommit.Configcommit{Platform: h.cluster.platform(h.self.Name)}).Explain(context.Background(), from, c, a)
 		s.print("%s: conflict, %d is accepted", h.self.Name, x.Accepted)
@@ -270,7 +270,7 @@
 // content under the same version: forks.
 func printContentConflicts(s script, _ []string) {
 	for _, n := range s.cluster.hostNames() {
-		s.print("%s: other contents seen %t", n, s.cluster.hosts[n].follower.Replica().Divergences() > 0)
+		s.print("%s: other contents seen %t", n, s.cluster.hosts[n].configFollower.Replica().Divergences() > 0)
 	}
 }
 
@@ -279,7 +279,7 @@
 	for _, n := range s.cluster.hostNames() {
 		v := "none"
 		h := s.cluster.hosts[n]
-		if c := h.follower.Snapshot(); c != nil {
+		if c := h.configFollower.Snapshot(); c != nil {
 			v = fmt.Sprintf("%d %s", c.Config.Version, c.Config.Preset)
 		}
 		s.print("%s: %s", n, v)
@@ -290,8 +290,8 @@
 // admit HOST KEY METHOD...
 func printAdmission(s script, args []string) {
 	h := s.cluster.hosts[args[0]]
-	a := &authenticator.Authenticator{Snapshot: h.follower.Snapshot, Stale: func(n bool) bool {
-		return h.freshness.Stale(h.follower.Snapshot().Config.KeyStaleness, n)
+	a := &authenticator.Authenticator{Snapshot: h.configFollower.Snapshot, AreKeysStale: func(n bool) bool {
+		return h.freshness.Stale(h.configFollower.Snapshot().Config.KeyStaleness, n)
 	}}
 	for _, m := range args[2:] {
 		r := httptest.NewRequest(m, "/", nil)
--- a/separation/version_test.go
+++ b/separation/version_test.go
@@ -113,7 +113,7 @@
 	case "beat":
 		if o := w.hosts[n[x.B%4]]; o != h {
 			h.sendHeartbeat(o)
-			h.relay.Pass(context.Background())
+			h.relay.Sync(context.Background())
 		}
 	case "round":
 		w.runRound()
@@ -151,7 +151,7 @@
 func (c *checker) check(w *cluster) error {
 	for _, k := range w.hostNames() {
 		h := w.hosts[k]
-		d := h.follower.Replica().Digest()
+		d := h.configFollower.Replica().Digest()
 		if d.Version < c.versions[h] {
 			return errors.Errorf("version of %s decreased from %d to %d", k, c.versions[h], d.Version)
 		}
@@ -170,13 +170,13 @@
 // adoptContent is the faulty variant of a host: it takes a peer's configuration even
 // if its version is lower.
 func (n *testHost) adoptContent(from string, v *wire.Version) {
-	_, h, b := n.cluster.hosts[from].follower.Content()
+	_, h, b := n.cluster.hosts[from].configFollower.Content()
 	if v.Version == 0 || v.Version == n.version() {
 		return
 	}
 	o := n.cluster.startHost(n.self.Name, n.self.Domain, n.self.Region)
-	_ = o.follower.Offer(v.Version, h, b)
-	n.follower = o.follower
+	_ = o.configFollower.Offer(v.Version, h, b)
+	n.configFollower = o.configFollower
 	n.relay = o.relay
 	n.cluster.hosts[n.self.Name] = n
 }
--- a/separation/world_test.go
+++ b/separation/world_test.go
@@ -59,16 +59,16 @@
 
 // testHost is one host: its replicated contents and the state received from others.
 type testHost struct {
-	cluster      *cluster
-	self         member.Member
-	follower     *configfollower.Configfollower
-	relay        *relay.Relay
-	freshness    *freshness.Freshness
-	plans        *planfollower.Planfollower
-	lease        *lease.Lease
-	cancelLease  context.CancelFunc   // ends the lease's loop at its first wait
-	lastReceived map[string]time.Time // last heartbeat, by host
-	acceptsAny   bool                 // faulty variant: adopts any version that it receives
+	cluster        *cluster
+	self           member.Member
+	configFollower *configfollower.Configfollower
+	relay          *relay.Relay
+	freshness      *freshness.Freshness
+	plans          *planfollower.Planfollower
+	lease          *lease.Lease
+	cancelLease    context.CancelFunc   // ends the lease's loop at its first wait
+	lastReceived   map[string]time.Time // last heartbeat, by host
+	acceptsAny     bool                 // faulty variant: adopts any version that it receives
 }
 
 func newCluster() *cluster {
@@ -85,7 +85,7 @@
 		freshness: &freshness.Freshness{Clock: w.clock}, lastReceived: make(map[string]time.Time),
 	}
 	l := log.New(io.Discard)
-	n.follower = &configfollower.Configfollower{Clock: w.clock, Log: l, Platform: w.platform(name)}
+	n.configFollower = &configfollower.Configfollower{Clock: w.clock, Log: l, Platform: w.platform(name)}
 	n.plans = &planfollower.Planfollower{Clock: w.clock, Log: l, Platform: w.platform(name)}
 	n.lease = &lease.Lease{
 		Clock: singleWaitClock{FakeClock: w.clock, host: n}, Platform: w.platform(name), Name: "lease/planner",
@@ -93,7 +93,7 @@
 	}
 	n.relay = &relay.Relay{
 		Clock: w.clock, Log: l, Self: func() member.Member { return n.self }, Peers: n.alive,
-		Replicas: []*replica.Replica{n.follower.Replica(), n.plans.Replica()},
+		Replicas: []*replica.Replica{n.configFollower.Replica(), n.plans.Replica()},
 		Fetch:    n.fetch, Notify: n.notify, Fanout: 16, Timeout: time.Second, RetryDelay: time.Second,
 	}
 	w.hosts[name] = n
@@ -202,7 +202,7 @@
 		}
 	}
 	for _, a := range w.hostNames() {
-		w.hosts[a].relay.Pass(context.Background())
+		w.hosts[a].relay.Sync(context.Background())
 	}
 }
 
@@ -221,7 +221,7 @@
 	m := n.self
 	return &wire.Heartbeat{
 		From:     &wire.Host{Name: m.Name, Domain: m.Domain, Region: m.Region, PeerAddress: m.PeerAddress},
-		Versions: []*wire.Version{n.follower.Replica().Digest(), n.plans.Replica().Digest()}, KeyAgeNanoseconds: n.freshness.OwnAge(),
+		Versions: []*wire.Version{n.configFollower.Replica().Digest(), n.plans.Replica().Digest()}, KeyAgeNanoseconds: n.freshness.OwnAge(),
 	}
 }
 
@@ -265,7 +265,7 @@
 
 // poll reads the accepted configuration version from the platform.
 func (n *testHost) poll() error {
-	err := n.follower.Replica().Poll(context.Background())
+	err := n.configFollower.Replica().Poll(context.Background())
 	if err == nil {
 		n.freshness.RecordContact()
 	}
@@ -277,10 +277,10 @@
 func (n *testHost) commit(from uint64, edit func(c *config.Config)) (acceptedversion.Acceptedversion, bool, error) {
 	k := &configcommit.Configcommit{
 		Platform: n.cluster.platform(n.self.Name), Clock: instantClock{n.cluster.clock},
-		OnAccepted: func(a acceptedversion.Acceptedversion, b []byte) { _ = n.follower.Offer(a.Version, a.Hash, b) },
+		OnAccepted: func(a acceptedversion.Acceptedversion, b []byte) { _ = n.configFollower.Offer(a.Version, a.Hash, b) },
 	}
 	var c config.Config
-	if s := n.follower.Snapshot(); s != nil {
+	if s := n.configFollower.Snapshot(); s != nil {
 		c = *s.Config
 	}
 	edit(&c)
@@ -288,7 +288,7 @@
 }
 
 func (n *testHost) version() uint64 {
-	return n.follower.Replica().Digest().Version
+	return n.configFollower.Replica().Digest().Version
 }
 
 // stepLease makes the lease renew or acquire its row once.
--- a/servicequeues/servicequeues_test.go
+++ b/servicequeues/servicequeues_test.go
@@ -15,14 +15,14 @@
 	"celeryreach.example/celeryreach/snapshot"
 )
 
-// testLanes are the queues and balancers of a host with a fixed configuration.
-type testLanes struct {
+// testQueues are the queues and balancers of a host with a fixed configuration.
+type testQueues struct {
 	clock   *clockwork.FakeClock
-	lanes   *Servicequeues
+	queues  *Servicequeues
 	domains []string
 }
 
-func newTestLanes() *testLanes {
+func newTestQueues() *testQueues {
 	c := &config.Config{
 		Services: []service.Service{{Name: "deposits"}, {Name: "rosters", SharedWith: "deposits", Deferrable: true}},
 		Backends: []backend.Backend{
@@ -31,8 +31,8 @@
 		},
 	}
 	s := snapshot.New(c, "")
-	r := &testLanes{clock: clockwork.NewFakeClock(), domains: []string{"lagos-1"}}
-	r.lanes = &Servicequeues{
+	r := &testQueues{clock: clockwork.NewFakeClock(), domains: []string{"lagos-1"}}
+	r.queues = &Servicequeues{
 		Clock: r.clock, Domains: func() []string { return r.domains }, Snapshot: func() *snapshot.Snapshot { return s },
 		Slots: func(b backend.Backend) int { return b.Slots },
 	}
@@ -43,11 +43,11 @@
 // host of the region gets their slots and uses them, and stops when the failure
 // domain has a host again.
 func TestTakeover(t *testing.T) {
-	r := newTestLanes()
+	r := newTestQueues()
 	x, f := context.WithCancel(t.Context())
 	d := make(chan error, 1)
-	go func() { d <- r.lanes.Run(x) }()
-	slots := func() uint32 { return r.lanes.Loads()[0].Slots }
+	go func() { d <- r.queues.Run(x) }()
+	slots := func() uint32 { return r.queues.Loads()[0].Slots }
 	must.NoError(t, r.clock.BlockUntilContext(x, 1))
 	must.EqOp(t, 2, slots())
 	for _, v := range []struct {
@@ -67,16 +67,16 @@
 // while one export runs and another one waits is served before the waiting
 // export.
 func TestSharedBackends(t *testing.T) {
-	r := newTestLanes()
-	first, o := r.lanes.Queue("rosters").Wait(t.Context(), "a", time.Minute)
+	r := newTestQueues()
+	first, o := r.queues.Queue("rosters").Wait(t.Context(), "a", time.Minute)
 	must.EqOp(t, "", o.Outcome)
 	c := make(chan string, 1)
 	go func() {
-		_, o := r.lanes.Queue("rosters").Wait(t.Context(), "a", time.Minute)
+		_, o := r.queues.Queue("rosters").Wait(t.Context(), "a", time.Minute)
 		c <- o.Outcome
 	}()
 	must.NoError(t, r.clock.BlockUntilContext(t.Context(), 1))
-	second, o := r.lanes.Queue("deposits").Wait(t.Context(), "a", time.Minute)
+	second, o := r.queues.Queue("deposits").Wait(t.Context(), "a", time.Minute)
 	must.EqOp(t, "", o.Outcome)
 	must.EqOp(t, "one", second.Backend.Name)
 	first.Release(result.Succeeded)
--- a/simulation/node.go
+++ b/simulation/node.go
@@ -33,8 +33,8 @@
 	leaving          bool
 	paused           bool
 	deferred         []func() // calls that run after the pause
-	holding          *entitlement.Entitlement
-	author           *divisionwriter.Divisionwriter
+	entitlement      *entitlement.Entitlement
+	divisionWriter   *divisionwriter.Divisionwriter
 	quota            *quota.Quota
 	demand           *demand.Demand
 	demandReportedAt time.Time
@@ -69,24 +69,24 @@
 		self: holder.Holder{Name: name, Incarnation: uint64(number + 1), Domain: domain, Region: region},
 	}
 	n.quota = &quota.Quota{Clock: c, Account: n.account, Grant: n.grant, Hold: f.Hold, Borrow: n.startLoanRequest}
-	n.holding = &entitlement.Entitlement{
-		Clock: c, Self: n.self, Hold: f.Hold, StoreHold: f.StoreHold, Every: f.Heartbeat, BeforeChange: n.quota.RefillAll,
+	n.entitlement = &entitlement.Entitlement{
+		Clock: c, Self: n.self, Hold: f.Hold, StoreHold: f.StoreHold, TickInterval: f.Heartbeat, BeforeChange: n.quota.RefillAll,
 		LoanDuration: loanDuration + loanDuration/10,
 	}
 	n.demand = &demand.Demand{Clock: c, Hold: f.Hold, Account: n.account}
-	n.author = &divisionwriter.Divisionwriter{
-		Clock: c, Log: f.logger, Platform: f.storeFor(number), Holding: n.holding, Alive: n.alive,
-		Config: func() *config.Config { return f.Config }, Demand: n.demand.Fractions, Listed: f.listed, Every: f.Poll, MinEpochInterval: f.MinEpochInterval,
+	n.divisionWriter = &divisionwriter.Divisionwriter{
+		Clock: c, Log: f.logger, Platform: f.storeFor(number), Entitlement: n.entitlement, Alive: n.alive,
+		Config: func() *config.Config { return f.Config }, Demand: n.demand.Fractions, IsListed: f.listed, ReadInterval: f.Poll, MinEpochInterval: f.MinEpochInterval,
 	}
 	return n
 }
 
-// Holding returns the entitlement of a process, with its clock set to the current
+// Entitlement returns the entitlement of a process, with its clock set to the current
 // time.
-func (f *Simulation) Holding(host int) *entitlement.Entitlement {
+func (f *Simulation) Entitlement(host int) *entitlement.Entitlement {
 	n := f.nodes[host]
 	n.clock.set(f.now)
-	return n.holding
+	return n.entitlement
 }
 
 // Quota returns the quota of a process, with its clock set to the current time.
@@ -105,7 +105,7 @@
 	if n.simulation.Fixed != nil {
 		return n.simulation.Fixed(n.number, name)
 	}
-	g := n.holding.Rate(name)
+	g := n.entitlement.Rate(name)
 	if n.simulation.Grant != nil {
 		g = n.simulation.Grant(g)
 	}
@@ -129,7 +129,7 @@
 // sendHeartbeats exchanges heartbeats with all other processes.
 func (n *node) sendHeartbeats() {
 	n.execute(func() {
-		n.holding.Tick()
+		n.entitlement.Tick()
 		n.aliveAtHeartbeat = n.directlyAlive()
 		n.reportDemand()
 		for _, p := range n.simulation.nodes {
@@ -171,7 +171,7 @@
 
 func (n *node) newHeartbeat() heartbeat {
 	return heartbeat{
-		from: n, epoch: n.holding.ReportEpoch(), leaving: n.leaving, alive: n.aliveAtHeartbeat, demand: n.demand.ForHost(n.self.Name),
+		from: n, epoch: n.entitlement.ReportEpoch(), leaving: n.leaving, alive: n.aliveAtHeartbeat, demand: n.demand.ForHost(n.self.Name),
 	}
 }
 
@@ -180,9 +180,9 @@
 	n.demand.Record(m.from.self.Name, m.demand)
 	e := m.epoch
 	if n.simulation.Report != nil {
-		e = n.simulation.Report(e, n.holding.Epoch())
+		e = n.simulation.Report(e, n.entitlement.Epoch())
 	}
-	n.holding.RecordPeerEpoch(m.from.self.Name, m.from.self.Incarnation, e, sent)
+	n.entitlement.RecordPeerEpoch(m.from.self.Name, m.from.self.Incarnation, e, sent)
 	n.fetchDivision()
 }
 
@@ -190,18 +190,18 @@
 // Its content is transferred without additional delay, as part of the message
 // that is being processed.
 func (n *node) fetchDivision() {
-	if n.holding.HighestKnownEpoch() <= n.holding.Epoch() {
+	if n.entitlement.HighestKnownEpoch() <= n.entitlement.Epoch() {
 		return
 	}
 	for _, p := range n.simulation.nodes {
-		if p == n || p.dead || p.paused || p.holding.Epoch() <= n.holding.Epoch() {
+		if p == n || p.dead || p.paused || p.entitlement.Epoch() <= n.entitlement.Epoch() {
 			continue
 		}
 		if _, ok := n.simulation.Delay(n.number, p.number); !ok {
 			continue
 		}
-		if d, ok := p.holding.Current(); ok {
-			n.holding.ApplyDivision(d, time.Time{})
+		if d, ok := p.entitlement.Current(); ok {
+			n.entitlement.ApplyDivision(d, time.Time{})
 		}
 	}
 }
@@ -213,10 +213,10 @@
 		t := n.clock.Now()
 		if d, ok := f.readLate(n.number); ok {
 			if e, ok := f.Delay(n.number, n.number); ok {
-				f.schedule(e, func() { n.execute(func() { n.holding.ApplyDivision(d, t) }) })
+				f.schedule(e, func() { n.execute(func() { n.entitlement.ApplyDivision(d, t) }) })
 			}
 		}
-		n.author.Step(context.Background())
+		n.divisionWriter.Step(context.Background())
 		f.schedule(f.Poll, n.pollTable)
 	})
 }
@@ -324,7 +324,7 @@
 		}
 	}
 	r := division.RatePrefix + name
-	d, _ := n.holding.Current()
+	d, _ := n.entitlement.Current()
 	var p []*node
 	for _, h := range loan.Lenders(n.self, l, d, r, n.demand.Fractions()[r]) {
 		if len(p) < loan.MaxLenders {
--- a/simulation/script_test.go
+++ b/simulation/script_test.go
@@ -137,7 +137,7 @@
 // tolerance of 1%.
 func partIs(ts *testscript.TestScript, neg bool, a []string) {
 	s := stateOf(ts)
-	v, w := s.Holding(s.host(ts, a[0])).Fraction(a[1]), number(ts, a[2])
+	v, w := s.Entitlement(s.host(ts, a[0])).Fraction(a[1]), number(ts, a[2])
 	if ok := v > w-0.01 && v < w+0.01; ok == neg {
 		ts.Fatalf("%s uses %.4f of %s", a[0], v, a[1])
 	}
@@ -146,7 +146,7 @@
 // epoch NAME N checks the epoch of a host.
 func epoch(ts *testscript.TestScript, neg bool, a []string) {
 	s := stateOf(ts)
-	if e := s.Holding(s.host(ts, a[0])).Epoch(); (strconv.FormatUint(e, 10) == a[1]) == neg {
+	if e := s.Entitlement(s.host(ts, a[0])).Epoch(); (strconv.FormatUint(e, 10) == a[1]) == neg {
 		ts.Fatalf("%s is on epoch %d", a[0], e)
 	}
 }
@@ -154,7 +154,7 @@
 // slots NAME LIMIT TOTAL COUNT checks how many slots a host may use.
 func slotsAre(ts *testscript.TestScript, neg bool, a []string) {
 	s := stateOf(ts)
-	n := len(s.Holding(s.host(ts, a[0])).Slots(a[1], int(number(ts, a[2]))))
+	n := len(s.Entitlement(s.host(ts, a[0])).Slots(a[1], int(number(ts, a[2]))))
 	if (n == int(number(ts, a[3]))) == neg {
 		ts.Fatalf("%s uses %d slots of %s", a[0], n, a[1])
 	}
--- a/simulation/simulation_test.go
+++ b/simulation/simulation_test.go
@@ -162,7 +162,7 @@
 		if !m.Runs(i) {
 			continue
 		}
-		h := m.Holding(i)
+		h := m.Entitlement(i)
 		sum += h.Fraction("rate/a")
 		for d := range domains {
 			l := fmt.Sprintf("slots/d%d", d)
@@ -191,17 +191,17 @@
 			continue
 		}
 		q := m.Quota(i)
-		if _, ok := q.Try("a", false); ok {
+		if _, ok := q.TryTake("a", false); ok {
 			m.admit()
 		}
-		if !q.Join("a", time.Second) {
+		if !q.StartWaiting("a", time.Second) {
 			continue
 		}
 		m.At(20*time.Millisecond, func() {
 			if m.Runs(i) {
 				m.drain(i)
 			}
-			q.Leave("a")
+			q.StopWaiting("a")
 		})
 	}
 }
@@ -211,7 +211,7 @@
 	m.tokens = min(burst*int64(time.Second), m.tokens+rate*int64(n.Sub(m.at)))
 	m.at = n
 	for range burst {
-		if _, ok := m.Quota(i).Try("a", true); !ok {
+		if _, ok := m.Quota(i).TryTake("a", true); !ok {
 			return
 		}
 		m.admit()
@@ -257,7 +257,7 @@
 		"loan not deducted": func(m *model) {
 			m.Lent = func(q *quota.Quota, name string, units uint64) {
 				for range units {
-					q.Return(name)
+					q.Refund(name)
 				}
 			}
 		},
--- a/slot/slot.go
+++ b/slot/slot.go
@@ -13,9 +13,9 @@
 type Slot struct {
 	// Backend is the backend server that runs the request.
 	Backend backend.Backend
-	// Answered is called with the status and header of the answer when they
+	// OnResponse is called with the status and header of the answer when they
 	// arrive. It removes the backend server's load report from the header.
-	Answered func(status int, h http.Header)
+	OnResponse func(status int, h http.Header)
 	// Release frees the slot. Only the first call has an effect.
 	Release func(r result.Result)
 }
--- a/ticketendpoint/ticketendpoint.go
+++ b/ticketendpoint/ticketendpoint.go
@@ -17,17 +17,17 @@
 
 // Ticketendpoint handles GET /tickets.
 type Ticketendpoint struct {
-	// Admission identifies the key of a request.
-	Admission *authenticator.Authenticator
-	// Ticket issues the tickets.
-	Ticket *ticketstore.Ticketstore
+	// Authenticator identifies the key of a request.
+	Authenticator *authenticator.Authenticator
+	// Tickets issues the tickets.
+	Tickets *ticketstore.Ticketstore
 	// EntryHost is the caller address of this host.
 	EntryHost string
 }
 
 // ServeHTTP issues the number of tickets in the query parameter count, or one.
 func (m *Ticketendpoint) ServeHTTP(w http.ResponseWriter, h *http.Request) {
-	c, ok := m.Admission.Identify(h)
+	c, ok := m.Authenticator.Identify(h)
 	if !ok {
 		refuse(w, outcome.KeyUnknown, "the key is missing, wrong or withdrawn")
 		return
@@ -42,7 +42,7 @@
 		n = p
 	}
 	b, err := codec.Marshal(tickets.Tickets{
-		Tickets: m.Ticket.Issue(c.Account, n), EntryHost: m.EntryHost, Lifetime: m.Ticket.Lifetime,
+		Tickets: m.Tickets.Issue(c.Account, n), EntryHost: m.EntryHost, Lifetime: m.Tickets.Lifetime,
 	})
 	if err != nil {
 		panic(err) // Tickets always encode as JSON
--- a/tokens/entry.go
+++ b/tokens/entry.go
@@ -190,10 +190,10 @@
 	return max(int64(c-e.bucket.Tokens()), w), w
 }
 
-// give takes up to n tokens out of the bucket for another host, unless requests wait at
+// lend takes up to n tokens out of the bucket for another host, unless requests wait at
 // this host. Requests that wait at the other host may get all tokens; the remainder is
 // taken only from tokens above lendThreshold.
-func (e *entry) give(n, urgent int64) int64 {
+func (e *entry) lend(n, urgent int64) int64 {
 	h := e.bucket.Tokens()
 	n = min(n, max(int64(h-lendThreshold*e.bucket.Capacity()), min(urgent, int64(h))))
 	if n <= 0 || len(e.waiting) > 0 || !e.bucket.TakeMany(n) {
--- a/tokens/tokens.go
+++ b/tokens/tokens.go
@@ -167,7 +167,7 @@
 	}
 	c := t.Clock.Now()
 	e.refill(c)
-	g := e.give(n, urgent)
+	g := e.lend(n, urgent)
 	if g < n {
 		e.addShortfall(host, n-g, c)
 	}
@@ -203,7 +203,7 @@
 // lendSpare lends spare tokens to hosts whose requests were not met.
 func (t *Tokens) lendSpare(e *entry, now time.Time) {
 	for _, w := range e.openShortfalls(now) {
-		if n := e.give(w.units, 0); n > 0 && t.Lend != nil {
+		if n := e.lend(w.units, 0); n > 0 && t.Lend != nil {
 			t.Lend(w.host, e.account.Name, n)
 			e.removeShortfall(w.host)
 		}
--- a/upstream/connections.go
+++ b/upstream/connections.go
@@ -9,19 +9,19 @@
 // connTracker tracks the connections on which net/http sends a request: net/http by
 // itself repeats an idempotent request when a reused connection breaks.
 type connTracker struct {
-	onRepeat func() // called for each connection after the first one
-	current  *sealableconn.Sealableconn
-	written  bool // whether an earlier connection was written to
+	onTransportRetry func() // called for each connection after the first one
+	current          *sealableconn.Sealableconn
+	written          bool // whether an earlier connection was written to
 }
 
 // gotConn is called by httptrace when net/http takes a connection for the request.
 func (c *connTracker) gotConn(i httptrace.GotConnInfo) {
 	if c.current != nil {
 		c.written = c.sealWritten()
-		c.onRepeat()
+		c.onTransportRetry()
 	}
 	c.current = i.Conn.(*sealableconn.Sealableconn)
-	c.current.Mark()
+	c.current.StartRequest()
 }
 
 // sealWritten seals the current connection and reports whether any part of the request
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -102,7 +102,7 @@
 // run r: either no byte was written and none can be written later, or b itself reports
 // it.
 func (u *Upstream) Send(ctx context.Context, r *request.Request, b backend.Backend, fresh bool) (p *http.Response, ran bool, err error) {
-	c := &connTracker{onRepeat: func() {
+	c := &connTracker{onTransportRetry: func() {
 		if u.OnTransportRetry != nil {
 			u.OnTransportRetry(b)
 		}
