--- a/decisionlog/decisionlog.go
+++ b/decisionlog/decisionlog.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// Write logs one line for each decision and clears the trail. The field Ago is the time
+// Write logs one line for each decision and clears the log of decisions. The field Ago is the time
 // between the decision and the log line.
 func (t *Decisionlog) Write(l *log.Logger, request string, now time.Time) {
 	if t == nil {
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -42,9 +42,9 @@
 )
 
 const (
-	// heartbeatInterval is the time between two heartbeats to a partner. With three
+	// heartbeatInterval is the time between two heartbeats to a peer. With three
 	// peers in its own region and two in each other region, a host takes part in about
-	// 14 short calls a second, including those that its partners start.
+	// 14 short calls a second, including those that its peers start.
 	heartbeatInterval = time.Second
 	// peerTimeout is the time without a heartbeat after which a host is no longer
 	// offered to callers. A host may miss two heartbeats.
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -94,8 +94,9 @@
 	return d
 }
 
-// tokenAlwaysValid reports that admission tokens do not expire. A token is counted when
-// it is taken, and the bucket of a paused host is not refilled during the pause.
+// tokenAlwaysValid returns true for all requests: admission tokens do not expire, because
+// a token is counted when it is taken, and the bucket of a paused host is not refilled
+// during the pause.
 func tokenAlwaysValid(*request.Request) bool {
 	return true
 }
--- a/entitlement/settle.go
+++ b/entitlement/advance.go
@@ -24,8 +24,8 @@
 	}
 	d.Earlier = nil
 	h.divisions = append(h.divisions, &d)
-	// The author knew that no host uses leased parts of an epoch before b, and
-	// that remains true.
+	// The host that wrote d knew that no host uses leased parts of an epoch before b,
+	// and that remains true.
 	h.minLeasedEpoch = max(h.minLeasedEpoch, b)
 	if b == 1 {
 		h.minFloorEpoch = max(h.minFloorEpoch, 1)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -31,8 +31,8 @@
 )
 
 const (
-	// logSampleInterval thins the log: of the requests that were answered or whose
-	// caller left, one in this many is logged.
+	// logSampleInterval is the number of requests, answered or canceled by their
+	// callers, of which one is logged.
 	logSampleInterval = 100
 	// maxWaitDivisor sets the longest wait for a slot to a fraction of the latency
 	// objective. A caller that is refused after that wait can retry and still be
@@ -143,7 +143,8 @@
 	return refuse(outcome.KeyUnknown, "the key is not known", 0)
 }
 
-// traceRefusal adds the state of the configuration that refuses r to the trail of r.
+// traceRefusal adds the state of the configuration that refuses r to the decision log
+// of r.
 func (g *Gateway) traceRefusal(b *routeindex.Routeindex, r *request.Request, fields ...any) {
 	n := g.Clock.Now()
 	var a any = "never"
@@ -255,7 +256,7 @@
 	}
 }
 
-// requestPermit reports whether r may be sent to the backend server that was taken for
+// requestPermit reports whether r may be sent to the backend server that was chosen for
 // it. If not, r no longer counts as load there.
 func (g *Gateway) requestPermit(ctx context.Context, r *request.Request, b backend.Backend) bool {
 	if g.RequestPermit == nil {
--- a/heartbeatpeers/heartbeatpeers_test.go
+++ b/heartbeatpeers/heartbeatpeers_test.go
@@ -22,10 +22,10 @@
 }
 
 // When a host joins in one region, the hosts of the others must reduce their shares of
-// the limits within two heartbeats. Each of them needs a partner in that region which
-// has received a heartbeat of the new host directly, also while one of its partners
-// does not answer.
-func TestPartnerInEachRegion(t *testing.T) {
+// the limits within two heartbeats. Each of them needs a heartbeat peer in that region
+// which has received a heartbeat of the new host directly, also while one of its
+// heartbeat peers does not answer.
+func TestHeartbeatPeerInEachRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "regions")
 		l := hosts(n, rapid.IntRange(1, 12).Draw(t, "hosts"))
@@ -47,8 +47,8 @@
 	})
 }
 
-// With 84 hosts in three regions, a host has 31 partners and not 83.
-func TestFewPartners(t *testing.T) {
+// With 84 hosts in three regions, a host has 31 heartbeat peers and not 83.
+func TestFewHeartbeatPeers(t *testing.T) {
 	l := hosts(3, 28)
 	most := make(map[string]int)
 	for _, h := range l {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -296,7 +296,7 @@
 
 // logSilentPeers logs peers that stopped sending heartbeats and those that resumed.
 // A peer to which this host sends no heartbeats is not silent: the peer exchanges
-// heartbeats with other partners.
+// heartbeats with other hosts.
 func (m *Membership) logSilentPeers(loops map[string]*heartbeatLoop) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -317,7 +317,7 @@
 }
 
 // heartbeatTargets returns the addresses to send heartbeats to: those of the
-// partners, and seeds whose host is not known yet.
+// hosts that SelectPeers selects, and seeds whose host is not known yet.
 func (m *Membership) heartbeatTargets() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/membership/notice_test.go
+++ b/membership/notice_test.go
@@ -17,7 +17,7 @@
 
 // Heartbeats from two hosts stop. This host still sends heartbeats to the first,
 // which does not reply: that peer is silent, and on-call engineers have to look for
-// it. The other one has only selected other partners and works normally.
+// it. The other one has only selected other heartbeat peers and works normally.
 func TestPeersWithOtherPartnersAreNotSilent(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	b := new(logbuffer.Logbuffer)
--- a/mirror/feed.go
+++ b/mirror/feed.go
@@ -100,8 +100,8 @@
 	return r, v, err
 }
 
-// watchLongPoll cancels a long poll once awaitAbortCause returns a cause. It sends
-// on done whether it did.
+// watchLongPoll cancels a long poll once awaitAbortCause returns a cause. Then it
+// sends true on done, or false if ctx ended first.
 func (m *Mirror) watchLongPoll(ctx context.Context, cancel context.CancelFunc, hints <-chan struct{}, done chan<- bool) {
 	c, ok := m.awaitAbortCause(ctx, hints)
 	if ok {
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -238,7 +238,7 @@
 	m.mu.Lock()
 	if version <= m.tableVersion {
 		m.mu.Unlock()
-		return // a copy adopted in the meantime includes them
+		return // a peer's copy that was applied in the meantime includes them
 	}
 	m.tableVersion = version
 	m.behindSince = time.Time{}
--- a/mirror/silence_test.go
+++ b/mirror/silence_test.go
@@ -158,8 +158,8 @@
 }
 
 // keepChanging changes another table of the same store continuously. Calls for that
-// table are answered often, which proves nothing about the long polls for the quiet
-// table.
+// table are answered often, which proves nothing about the long polls for the
+// table under test.
 func keepChanging(ctx context.Context, f *fleet, done chan<- struct{}) {
 	defer close(done)
 	for ctx.Err() == nil {
@@ -172,8 +172,8 @@
 }
 
 // simulateShortSilences simulates outages shorter than StoreTimeout while another table
-// changes continuously, and returns how many hosts lacked a change of the quiet
-// table when it was due. If sharedFreshness is set, hosts count an answer on either
+// changes continuously, and returns how many hosts lacked a change of the
+// table under test when it was due. If sharedFreshness is set, hosts count an answer on either
 // table for both.
 func simulateShortSilences(seed uint64, sharedFreshness bool) int {
 	r := rand.New(rand.NewPCG(seed, 0))
--- a/permits/allocation.go
+++ b/permits/allocation.go
@@ -36,7 +36,7 @@
 	quota        int             // permits that this host grants per window
 }
 
-// granters returns the hosts to ask for a permit, in order: this host if it is a
+// granters returns the hosts to request a permit from, in order: this host if it is a
 // granter, the other granters of its region, and one of the backend server's region,
 // which has most of the permits.
 func (p *Permits) granters(q *wire.PermitRequest) []member.Member {
--- a/permits/permits.go
+++ b/permits/permits.go
@@ -20,15 +20,15 @@
 	// requestTimeout bounds one permit request to another host. It is more than twice the
 	// round-trip time to the farthest region.
 	requestTimeout = 300 * time.Millisecond
-	// unreachableFor is how long a host that did not answer is not asked again.
+	// unreachableFor is how long no permits are requested from a host that did not answer.
 	unreachableFor = 2 * time.Second
 	// minRefusal is the minimum time for which a refusal holds.
 	minRefusal = 10 * time.Millisecond
 )
 
 // Permits grants permits to send one request to a backend server. Each region has a
-// quota, a part of the bound, which one or two of its hosts grant; the other hosts ask
-// them. Nearly all of the bound can thus be used, wherever callers connect, whereas a
+// quota, a part of the bound, which one or two of its hosts grant; the other hosts send
+// them requests. Nearly all of the bound can thus be used, wherever callers connect, whereas a
 // fixed quota per host would be only one or two requests. The quotas of regions are
 // fixed, so that partitioned hosts together send no more than connected ones.
 type Permits struct {
@@ -110,8 +110,8 @@
 // Denied returns how often this host received no permit.
 func (p *Permits) Denied() int { return p.read(&p.denied) }
 
-// requestPermit requests a permit from one host, which may be this one. A host that refused is
-// not asked again before the time that it returned.
+// requestPermit requests a permit from one host, which may be this one. A host that refused receives
+// no further request before the time that it returned.
 func (p *Permits) requestPermit(ctx context.Context, h member.Member, q *wire.PermitRequest) (retryAfter time.Duration, ok bool) {
 	if h.Name == p.Self.Name {
 		return p.grant(q)
--- a/placement/choice.go
+++ b/placement/choice.go
@@ -17,7 +17,8 @@
 	// lowLoad is the fraction of its slots below which the preferred backend server
 	// of an object is chosen although only another one has the object cached. At
 	// that load a slow request delays no other. Without this rule, objects would
-	// never return after a failure, and a new backend server would receive none.
+	// never move back to their preferred backend server after a failure, and a new
+	// backend server would receive none.
 	lowLoad = 0.2
 )
 
@@ -59,11 +60,11 @@
 
 // preferred returns the first candidates of c, as many as BackendsPerObject permits, including
 // those that are unavailable at the moment. An unavailable candidate isn't replaced by the
-// next one: a backend server that restarted cold is sent requests at a low rate, and if
-// others stood in between these, the object would be cached at a third and a fourth backend
-// server, each time with a late answer, and never return. More candidates follow only if
-// all these are unavailable for other reasons than a missing permit, since permits are
-// scarce for all backend servers at the same time.
+// next one: a backend server that restarted cold is sent requests at a low rate. If others
+// served the requests in between, a third and a fourth backend server would cache the
+// object, each time with a late answer, and the object would never move back. More
+// candidates are added only if all of these are unavailable for reasons other than a
+// missing permit, since permits are scarce for all backend servers at the same time.
 func (p *Placement) preferred(c []candidate) []candidate {
 	s := false
 	for i, v := range c {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -41,8 +41,8 @@
 	// Clock measures the age of reports.
 	Clock clockwork.Clock
 	// Log receives one line for each backend server that is ejected, and for each
-	// change of the share of a region that is left to requests which any region may
-	// serve; nil disables logging.
+	// change of the fraction of a region that is available to requests which any region
+	// may serve; nil disables logging.
 	Log *log.Logger
 	// Region is the region of this host.
 	Region string
@@ -125,8 +125,8 @@
 	return &pool{outlier: g.outlier, availability: g.availability}
 }
 
-// logUnrestrictedPart logs a change of the fraction of a region that is left to requests
-// which any region may serve.
+// logUnrestrictedPart logs a change of the fraction of a region that is available to
+// requests which any region may serve.
 func (p *Placement) logUnrestrictedPart(service, region string, left float64) {
 	if p.Log != nil {
 		p.Log.Info("region left to free requests", "Service", service, "Region", region, "Part", left)
@@ -227,8 +227,8 @@
 	return p.freed
 }
 
-// ReleaseUnsent ends a request that was taken but isn't sent because there is no permit for it.
-// This host sends the backend server nothing for the duration d.
+// ReleaseUnsent ends a request for which Acquire chose a backend server but no permit was
+// granted. This host sends the backend server nothing for the duration d.
 func (p *Placement) ReleaseUnsent(name string, q *request.Request, d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -251,7 +251,7 @@
 	}
 }
 
-// Release ends a request that was taken.
+// Release ends a request for which Acquire chose a backend server.
 func (p *Placement) Release(name string, q *request.Request, r result.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -314,7 +314,7 @@
 	}
 }
 
-// candidates returns the backend servers that may serve r, most preferred first by the
+// candidates returns the backend servers that may serve r in descending order of the
 // rendezvous score of its object.
 func (p *Placement) candidates(g *pool, r *request.Request, now time.Time) []candidate {
 	q, _ := p.ColdCapacity(r.Service.Name)
--- a/placement/server.go
+++ b/placement/server.go
@@ -57,7 +57,8 @@
 	return &server{objects: l}
 }
 
-// activeRequest is a request that was taken and hasn't ended.
+// activeRequest is a request for which Acquire chose the backend server and that hasn't
+// ended.
 type activeRequest struct {
 	id, route   string
 	startedAt   time.Time
@@ -89,8 +90,8 @@
 }
 
 func (s *server) updateLoad(total int, now time.Time) {
-	// The request whose answer carries the report still counts as running here but
-	// not in total.
+	// The request whose answer carries the report is still in s.running, but total
+	// no longer includes it.
 	s.otherLoad = max(float64(total-len(s.running)+1), 0)
 	s.reportedAt = now
 }
--- a/queue/estimate.go
+++ b/queue/estimate.go
@@ -86,8 +86,8 @@
 	return q.retryAfterAt(c, a, q.Clock.Now())
 }
 
-// retryAfterAt returns the time in which the account's queue is served, between
-// minRetry and maxRetry.
+// retryAfterAt returns the expected time until all waiting requests of the account
+// are served, limited to between minRetry and maxRetry.
 func (q *Queue) retryAfterAt(c *class, a *accountQueue, now time.Time) time.Duration {
 	return min(max(q.expectedWait(c, a, a.waiting, now), minRetry), maxRetry)
 }
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -100,7 +100,7 @@
 // their own deadlines.
 func (q *Queue) Sweep() {
 	if q.Precedes != nil {
-		return // included in the sweep of the queue ahead
+		return // the Sweep of q.Precedes handles both queues
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -302,7 +302,8 @@
 	}
 }
 
-// refuseLate refuses such requests at any position of an account's queue.
+// refuseLate refuses requests that cannot be served before their deadlines, at any
+// position of an account's queue.
 func (q *Queue) refuseLate(c *class, a *accountQueue, now time.Time) {
 	v := q.newestFirst(a, now)
 	p := 1
--- a/tokens/entry.go
+++ b/tokens/entry.go
@@ -22,7 +22,7 @@
 	// one account, except for an immediate repetition while requests still wait.
 	minBorrowInterval = 60 * time.Millisecond
 	// shortfallTTL is how long a shortfall of another host is kept. While it lacks
-	// tokens, that host asks again after at most minBorrowInterval.
+	// tokens, that host repeats its request after at most minBorrowInterval.
 	shortfallTTL = time.Second
 	// minDeferredCapacity is the minimum bucket capacity of a host, in tokens, for
 	// spare tokens to be lent to it after its request.
--- a/tokens/loan_test.go
+++ b/tokens/loan_test.go
@@ -54,7 +54,7 @@
 }
 
 // The account's rate is used up on all hosts. The caller must be refused as soon as the
-// hosts that were asked have answered, and not only when its maximum wait ends.
+// hosts that received a request have responded, and not only when its maximum wait ends.
 func TestRefusedWhenNoHostHasTokens(t *testing.T) {
 	m := drainedModel(2)
 	r := startRequest(t, m)
@@ -62,7 +62,7 @@
 	must.False(t, <-r)
 }
 
-// The hosts that were asked do not answer. The caller must be refused when its
+// The hosts that received a request do not respond. The caller must be refused when its
 // maximum wait ends, and tokens that arrive later must serve the next caller.
 func TestRefusedWhenNoHostAnswers(t *testing.T) {
 	m := drainedModel(2)
@@ -75,7 +75,8 @@
 }
 
 // Three callers wait, and the first attempt to borrow brings one token. The oldest
-// caller must get it, and the hosts must be asked again before any other is refused.
+// caller must get it, and the hosts must receive another request before any other caller
+// is refused.
 func TestBorrowsAgainForWaitingRequests(t *testing.T) {
 	m := drainedModel(2)
 	first := startRequest(t, m)
@@ -101,9 +102,9 @@
 	must.True(t, <-rest)
 }
 
-// A host asks while another has no spare tokens. Before the bucket of the other host
-// overflows later, its spare tokens must go to the host that asked instead of being
-// lost.
+// A host requests tokens while another has none to spare. Before the bucket of the other host
+// overflows later, its spare tokens must go to the host that requested them instead of
+// being lost.
 func TestSpareTokensAreLentLater(t *testing.T) {
 	m := drainedModel(2)
 	for range 20 {
--- a/tokens/tokens.go
+++ b/tokens/tokens.go
@@ -183,9 +183,9 @@
 	}
 }
 
-// BorrowingDone ends an attempt to borrow, after all hosts that were asked have
-// answered. If they lent tokens but requests still wait, they are asked once more; if
-// they lent none, the waiting requests are refused.
+// BorrowingDone ends an attempt to borrow, after all hosts that received a request have
+// responded. If they lent tokens but requests still wait, another attempt starts; if they
+// lent none, the waiting requests are refused.
 func (t *Tokens) BorrowingDone(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/tokens/tokens_test.go
+++ b/tokens/tokens_test.go
@@ -169,8 +169,8 @@
 	must.Len(t, 1, m.admitted)
 }
 
-// One host gets all callers of an account. It must ask the others for tokens before its
-// bucket is empty, so that callers inside the rate are not refused.
+// One host gets all callers of an account. It must request tokens from the others before
+// its bucket is empty, so that callers inside the rate are not refused.
 func TestBorrowsBeforeBucketIsEmpty(t *testing.T) {
 	m := newModel(4, 100, 100)
 	var asked int64
