--- a/edge/limits.go
+++ b/edge/limits.go
@@ -81,7 +81,7 @@
 // coldRate returns how many requests a second a cold backend server of a service can
 // handle, and how long it stays cold.
 func (e *Edge) coldRate(service string) (float64, time.Duration) {
-	if b := e.book.Load(); b != nil {
+	if b := e.index.Load(); b != nil {
 		if s := b.Service(service); s != nil {
 			return s.ColdRate, s.WarmUp
 		}
@@ -94,8 +94,9 @@
 	return d
 }
 
-// tokenAlwaysValid reports that admission tokens do not expire. A token is counted when
-// it is taken, and the bucket of a paused host is not refilled during the pause.
+// tokenAlwaysValid returns true for all requests: admission tokens do not expire, because
+// a token is counted when it is taken, and the bucket of a paused host is not refilled
+// during the pause.
 func tokenAlwaysValid(*request.Request) bool {
 	return true
 }
@@ -104,6 +105,6 @@
 	return &hedge.Hedge{Initial: hedgeInitial, Min: hedgeMin, Max: hedgeMax}
 }
 
-func newResponseRelay(c clockwork.Clock) *responsecopier.Responsecopier {
+func newResponseCopier(c clockwork.Clock) *responsecopier.Responsecopier {
 	return &responsecopier.Responsecopier{Clock: c, BufferLimit: responseBufferBytes, WriteTimeout: callerReadTimeout, AllowUndelimited: true}
 }
--- a/membership/notice_test.go
+++ b/membership/notice_test.go
@@ -17,13 +17,13 @@
 
 // Heartbeats from two hosts stop. This host still sends heartbeats to the first,
 // which does not reply: that peer is silent, and on-call engineers have to look for
-// it. The other one has only selected other partners and works normally.
+// it. The other one has only selected other heartbeat peers and works normally.
 func TestPeersWithOtherPartnersAreNotSilent(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	b := new(logbuffer.Logbuffer)
 	m := newMembership(c)
 	m.Log = log.New(b)
-	m.Partners = func(_ member.Member, l []member.Member, _ func(string) bool) []member.Member {
+	m.SelectPeers = func(_ member.Member, l []member.Member, _ func(string) bool) []member.Member {
 		return l[:1] // sorted by name, so this is a-near
 	}
 	m.SendHeartbeat = func(context.Context, string, *wire.Heartbeat) (*wire.Heartbeat, error) { return nil, io.EOF }
--- a/tokens/entry.go
+++ b/tokens/entry.go
@@ -22,7 +22,7 @@
 	// one account, except for an immediate repetition while requests still wait.
 	minBorrowInterval = 60 * time.Millisecond
 	// shortfallTTL is how long a shortfall of another host is kept. While it lacks
-	// tokens, that host asks again after at most minBorrowInterval.
+	// tokens, that host repeats its request after at most minBorrowInterval.
 	shortfallTTL = time.Second
 	// minDeferredCapacity is the minimum bucket capacity of a host, in tokens, for
 	// spare tokens to be lent to it after its request.
@@ -190,10 +190,10 @@
 	return max(int64(c-e.bucket.Tokens()), w), w
 }
 
-// give takes up to n tokens out of the bucket for another host, unless requests wait at
+// lend takes up to n tokens out of the bucket for another host, unless requests wait at
 // this host. Requests that wait at the other host may get all tokens; the remainder is
 // taken only from tokens above lendThreshold.
-func (e *entry) give(n, urgent int64) int64 {
+func (e *entry) lend(n, urgent int64) int64 {
 	h := e.bucket.Tokens()
 	n = min(n, max(int64(h-lendThreshold*e.bucket.Capacity()), min(urgent, int64(h))))
 	if n <= 0 || len(e.waiting) > 0 || !e.bucket.TakeMany(n) {
--- a/tokens/tokens.go
+++ b/tokens/tokens.go
@@ -167,7 +167,7 @@
 	}
 	c := t.Clock.Now()
 	e.refill(c)
-	g := e.give(n, urgent)
+	g := e.lend(n, urgent)
 	if g < n {
 		e.addShortfall(host, n-g, c)
 	}
@@ -183,9 +183,9 @@
 	}
 }
 
-// BorrowingDone ends an attempt to borrow, after all hosts that were asked have
-// answered. If they lent tokens but requests still wait, they are asked once more; if
-// they lent none, the waiting requests are refused.
+// BorrowingDone ends an attempt to borrow, after all hosts that received a request have
+// responded. If they lent tokens but requests still wait, another attempt starts; if they
+// lent none, the waiting requests are refused.
 func (t *Tokens) BorrowingDone(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,7 +203,7 @@
 // lendSpare lends spare tokens to hosts whose requests were not met.
 func (t *Tokens) lendSpare(e *entry, now time.Time) {
 	for _, w := range e.openShortfalls(now) {
-		if n := e.give(w.units, 0); n > 0 && t.Lend != nil {
+		if n := e.lend(w.units, 0); n > 0 && t.Lend != nil {
 			t.Lend(w.host, e.account.Name, n)
 			e.removeShortfall(w.host)
 		}
