--- a/backendlimit/backendlimit.go
+++ b/backendlimit/backendlimit.go
@@ -191,8 +191,8 @@
 	return m
 }
 
-// removeStale removes limits without recent observations, those of backend servers that
-// are gone.
+// removeStale removes limits without recent observations, as of backend servers that
+// were removed.
 func (l *Backendlimit) removeStale(now time.Time) {
 	for k, m := range l.limits {
 		if now.Sub(m.current.received) > retention {
--- a/backendlimit/part.go
+++ b/backendlimit/part.go
@@ -22,8 +22,8 @@
 	minDividedRate = 0.25
 	// probeInterval is the time between the probe turns of two hosts without a share,
 	// and probeDuration the duration of a turn. In its turn a host may send a request
-	// to check whether the limit still holds, unless it has a newer observation from
-	// another host. No Window contains two turns.
+	// to check whether the limit is still in force, unless it has a newer observation
+	// that another host reported. No Window contains two turns.
 	probeInterval = 5 * time.Second
 	probeDuration = time.Second
 	// probeReserve is the number of requests of the bound that is reserved for probes,
@@ -78,9 +78,9 @@
 	m.bucket.Set(now, n*s, 1+(u-float64(m.holders))*s)
 }
 
-// holderOrder returns the hosts in the order in which they get a share of a limit.
-// Hosts in the backend server's region come first, since most of the requests come from
-// there. Otherwise the order differs between backend servers.
+// holderOrder returns the hosts in the order in which they are given a share of a
+// limit. Hosts in the backend server's region come first, since most of the requests
+// come from there. Otherwise the order differs between backend servers.
 func holderOrder(hosts []member.Member, b backend.Backend) []member.Member {
 	l := slices.Clone(hosts)
 	slices.SortFunc(l, func(x, y member.Member) int {
@@ -95,7 +95,7 @@
 	return l
 }
 
-// share returns the fraction of a limit that one of its holders gets.
+// share returns the fraction of a limit that each of its holders has.
 func (l *Backendlimit) share(holders []member.Member, rank int, b backend.Backend) float64 {
 	t := 0.0
 	for _, h := range holders {
@@ -131,7 +131,7 @@
 // retryAfter returns the time until this host may send the next request.
 func (m *limit) retryAfter(now time.Time) time.Duration {
 	if m.rank < m.holders {
-		d, e, _ := m.bucket.Until()
+		d, e, _ := m.bucket.UntilNextToken()
 		return d + time.Duration(m.overdraft)*e
 	}
 	return m.untilProbe(now)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,6 +1,7 @@
-// Package balancer picks the backend server for a request among those of the
-// host's own failure domain. Decisions rest on what this host counts and
-// observes itself; reports of backend servers about themselves are only hints.
+// Package balancer picks the backend server for a request among the backend
+// servers of the host's own failure domain. Decisions are based on the host's
+// own counts and observations; reports of backend servers about themselves are
+// treated as hints only.
 package balancer
 
 import (
@@ -152,9 +153,9 @@
 	b.OnReleased()
 }
 
-// beginDrain records the first sign of a drain. Operators wait for the report
-// of its end from every host, so a host without requests in flight there
-// reports it as well.
+// beginDrain records the first sign of a drain. Operators wait until every host
+// has reported the end of the drain, so a host without requests in flight on
+// the backend server reports it too.
 func (b *Balancer) beginDrain(s *server, sign string, now time.Time) {
 	switch {
 	case s.drainSign != "":
@@ -193,13 +194,13 @@
 		b.recordSuccess(s, took.Seconds(), now)
 	case r == result.Succeeded, r == result.Failed:
 		if t, ok := b.outliers.Fail(s.backend.Name, b.names, now); ok {
-			// The backend server returns as if it were cold: its first requests
-			// show whether the fault persists.
-			s.warmup.Began = t
+			// After its ejection, the backend server is treated as cold: its
+			// first requests show whether the fault persists.
+			s.warmup.StartedAt = t
 		}
 	case r == result.Shed:
-		// It had fewer free slots than counted: earlier requests were still
-		// running.
+		// The backend server had fewer free slots than this host had counted,
+		// because earlier requests were still running.
 		s.releaseDelay = min(max(2*s.releaseDelay, minReleaseDelay), maxReleaseDelay)
 		s.sheds++
 		s.avoidUntil = now.Add(shedBackoff << min(s.sheds-1, maxShedDoublings))
@@ -207,7 +208,7 @@
 		b.beginDrain(s, "Refused", now)
 		s.refusals++
 		s.avoidUntil = now.Add(min(refusedBackoff<<min(s.refusals-1, maxDoublings), maxRefusedBackoff))
-		s.warmup.Began = s.avoidUntil
+		s.warmup.StartedAt = s.avoidUntil
 	}
 }
 
--- a/balancer/lend.go
+++ b/balancer/lend.go
@@ -11,10 +11,11 @@
 // next requests.
 const reservedSlots = 1
 
-// Lend closes a free slot for the duration d and returns its backend server and
-// a function that ends the loan early. The slot is closed before the borrower
-// is notified, so that a lost response makes a slot unavailable for a while but
-// never lets two hosts use it.
+// Lend makes a free slot unavailable to this host for the duration d. It
+// returns the slot's backend server and the function back, which ends the loan
+// early. The slot is unavailable before the borrower is notified: a lost
+// response leaves it unused for a while, but two hosts can never use it at
+// once.
 func (b *Balancer) Lend(d time.Duration) (name string, back func(), ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -7,8 +7,9 @@
 )
 
 // pick returns the backend server to use, nil if no slot is free. If only
-// excluded ones remain, they are used nevertheless: a failure domain is emptied
-// only by drains, never by failure detection.
+// excluded backend servers remain, they are used nevertheless: only drains may
+// take all backend servers of a failure domain out of use, never failure
+// detection.
 func (b *Balancer) pick(now time.Time) *server {
 	if s := b.pickOfTwo(now); s != nil {
 		return s
@@ -38,8 +39,8 @@
 	return best
 }
 
-// pickOfTwo draws two backend servers at random and returns the better one, nil
-// unless both are free.
+// pickOfTwo draws two backend servers at random and returns the better one. It
+// returns nil unless both have a free slot and neither is excluded.
 func (b *Balancer) pickOfTwo(now time.Time) *server {
 	n := len(b.servers)
 	if n < 2 {
@@ -144,7 +145,7 @@
 		s = &server{releaseDelay: minReleaseDelay}
 		b.byName[v.Name] = s
 		if !first {
-			s.warmup.Began = now
+			s.warmup.StartedAt = now
 		}
 	}
 	o := s.backend.Draining
@@ -154,7 +155,7 @@
 		b.beginDrain(s, "Operator", now)
 	case v.Draining:
 	case o || s.removed || s.backend.Address != v.Address && s.backend.Address != "":
-		s.warmup.Began = now
+		s.warmup.StartedAt = now
 		s.drainSign = ""
 	}
 	s.removed = false
--- a/balancer/probe.go
+++ b/balancer/probe.go
@@ -24,11 +24,12 @@
 	return r
 }
 
-// HandleProbe handles the result of a probe. An unhealthy result only makes the
-// backend server the last choice, so that false reports cannot empty a failure
-// domain. A response only ends the exclusion after refusals, so that real
-// requests decide, on one slot at first. It does not end a drain that answers
-// announce.
+// HandleProbe handles the result of a probe. After an unhealthy result, the
+// backend server is chosen last but not excluded, so that false reports cannot
+// take a complete failure domain out of use. A response only ends the exclusion
+// after refused connections or shed requests, and the backend server starts
+// with one slot, so that real requests show whether it works. A response does
+// not end a drain that answers announce.
 func (b *Balancer) HandleProbe(name string, h health.Health) {
 	b.mu.Lock()
 	n := b.Clock.Now()
@@ -52,10 +53,10 @@
 		s.extendDrain(n.Add(drainSignValidity))
 	case h.Reached && !h.Report.Draining && s.drainUntil.After(n) && s.answerDrains == 0:
 		s.drainUntil = n
-		s.warmup.Began = n
+		s.warmup.StartedAt = n
 	case h.Reached && s.avoidUntil.After(n):
 		s.avoidUntil = n
-		s.warmup.Began = n
+		s.warmup.StartedAt = n
 	}
 	b.mu.Unlock()
 	b.OnReleased()
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -90,7 +90,7 @@
 // cold from then on.
 func (s *server) extendDrain(t time.Time) {
 	s.drainUntil = t
-	s.warmup.Began = t
+	s.warmup.StartedAt = t
 }
 
 // completeDrain ends the drain in progress and returns it, nil if there is none
--- a/blockfollower/blockfollower.go
+++ b/blockfollower/blockfollower.go
@@ -37,8 +37,8 @@
 	Clock clockwork.Clock
 	// Log receives one line for each applied version.
 	Log *log.Logger
-	// Platform stores the row and the chunks.
-	Platform store.Store
+	// Store holds the row and the chunks.
+	Store store.Store
 	// PollInterval returns the time until the next read of the row.
 	PollInterval func() time.Duration
 	// OnChange is called after a version was applied; it may be nil.
@@ -79,7 +79,7 @@
 func (f *Blockfollower) Replica() *replica.Replica {
 	f.once.Do(func() {
 		f.replica = &replica.Replica{
-			Kind: Kind, Key: acceptedversion.BlocksKey, Log: f.Log, Platform: f.Platform, Apply: f.apply, OnChange: f.OnChange,
+			Kind: Kind, Key: acceptedversion.BlocksKey, Log: f.Log, Store: f.Store, Apply: f.apply, OnChange: f.OnChange,
 			Clock: f.Clock, PollInterval: f.PollInterval,
 		}
 	})
@@ -185,7 +185,7 @@
 			return b, nil
 		}
 	}
-	b, err := f.Platform.GetObject(ctx, acceptedversion.ObjectName(acceptedversion.BlocksKey, hash))
+	b, err := f.Store.GetObject(ctx, acceptedversion.ObjectName(acceptedversion.BlocksKey, hash))
 	if err != nil {
 		return nil, err
 	}
--- a/blockfollower/blockfollower_test.go
+++ b/blockfollower/blockfollower_test.go
@@ -53,7 +53,7 @@
 }
 
 func newFollower(p store.Store) *blockfollower.Blockfollower {
-	return &blockfollower.Blockfollower{Clock: clockwork.NewFakeClock(), Log: log.New(io.Discard), Platform: p, Timeout: time.Minute}
+	return &blockfollower.Blockfollower{Clock: clockwork.NewFakeClock(), Log: log.New(io.Discard), Store: p, Timeout: time.Minute}
 }
 
 // A host that follows each version and one that starts at the end, with chunks
@@ -63,7 +63,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
 		s := &memoryPlatform{objects: make(map[string][]byte)}
-		p := &blockpublish.Blockpublish{Clock: clockwork.NewFakeClock(), Platform: s.platform()}
+		p := &blockpublish.Blockpublish{Clock: clockwork.NewFakeClock(), Store: s.platform()}
 		f := newFollower(s.platform())
 		l := make(map[netip.Prefix]string)
 		for range rapid.IntRange(1, 8).Draw(t, "versions") {
@@ -111,7 +111,7 @@
 	const n = 2_200_000
 	ctx := context.Background()
 	s := &memoryPlatform{objects: make(map[string][]byte)}
-	p := &blockpublish.Blockpublish{Clock: clockwork.NewFakeClock(), Platform: s.platform()}
+	p := &blockpublish.Blockpublish{Clock: clockwork.NewFakeClock(), Store: s.platform()}
 	l := make([]block.Block, n)
 	for i := range l {
 		l[i] = block.Block{Prefix: netip.PrefixFrom(netip.AddrFrom4([4]byte{byte(i>>16) + 1, byte(i >> 8), byte(i), 0}), 24), Region: "lagos"}
--- a/blockpublish/blockpublish.go
+++ b/blockpublish/blockpublish.go
@@ -22,15 +22,15 @@
 type Blockpublish struct {
 	// Clock paces the reads that check a commit whose answer was lost.
 	Clock clockwork.Clock
-	// Platform stores the row and the chunks.
-	Platform store.Store
+	// Store holds the row and the chunks.
+	Store store.Store
 }
 
 // Change puts some client blocks and removes others. Concurrent changes
 // conflict only if they name the same block, and then the later one wins: the
 // second change is applied again to the version that the first one published.
 func (p *Blockpublish) Change(ctx context.Context, put []block.Block, remove []netip.Prefix) (acceptedversion.Acceptedversion, error) {
-	u := &publish.Publish{Clock: p.Clock, Platform: p.Platform, Key: acceptedversion.BlocksKey}
+	u := &publish.Publish{Clock: p.Clock, Store: p.Store, Key: acceptedversion.BlocksKey}
 	for range maxAttempts {
 		a, _, err := u.Current(ctx)
 		if err != nil {
@@ -60,7 +60,7 @@
 		}
 		return h, nil
 	}
-	b, err := p.Platform.GetObject(ctx, acceptedversion.ObjectName(acceptedversion.BlocksKey, a.Hash))
+	b, err := p.Store.GetObject(ctx, acceptedversion.ObjectName(acceptedversion.BlocksKey, a.Hash))
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 		}
 		b := blockchunk.Format(l)
 		h[i] = acceptedversion.Hash(b)
-		if err := p.Platform.PutObject(ctx, acceptedversion.ObjectName(acceptedversion.BlocksKey, h[i]), b); err != nil {
+		if err := p.Store.PutObject(ctx, acceptedversion.ObjectName(acceptedversion.BlocksKey, h[i]), b); err != nil {
 			return err
 		}
 	}
@@ -110,7 +110,7 @@
 	if h[i] == blockchunk.Empty {
 		return nil
 	}
-	b, err := p.Platform.GetObject(ctx, acceptedversion.ObjectName(acceptedversion.BlocksKey, h[i]))
+	b, err := p.Store.GetObject(ctx, acceptedversion.ObjectName(acceptedversion.BlocksKey, h[i]))
 	if err != nil {
 		return err
 	}
--- a/bucket/bucket.go
+++ b/bucket/bucket.go
@@ -84,9 +84,10 @@
 	return true
 }
 
-// Until returns the time until the rate makes the next token, as of the last refill,
-// and the time for each further token. It returns false if the rate makes none.
-func (b *Bucket) Until() (next, each time.Duration, ok bool) {
+// UntilNextToken returns the time from the last refill until the bucket gains the
+// next token, and the time for each further token. It returns false if the bucket
+// gains no tokens.
+func (b *Bucket) UntilNextToken() (next, each time.Duration, ok bool) {
 	if b.rate <= 0 || b.burst < tokenUnit {
 		return 0, 0, false
 	}
@@ -104,8 +105,8 @@
 	b.refill(now)
 }
 
-// Return gives back the token of a request that was not executed.
-func (b *Bucket) Return() {
+// Refund gives back the token of a request that was not executed.
+func (b *Bucket) Refund() {
 	b.tokens = min(b.tokens+tokenUnit, b.burst)
 }
 
--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -15,8 +15,9 @@
 	// heartbeatSeconds is the interval of heartbeats between hosts of a site.
 	heartbeatSeconds = 1.5
 	// remoteHeartbeatSeconds is the interval of heartbeats between the hosts that
-	// represent a site or a failure domain. Hold is three intervals, so the parts
-	// of limits that a silent one leases are reassigned within 12 s.
+	// represent a site or a failure domain. Hold is three intervals, so the
+	// leased parts of a host that stops sending heartbeats are reassigned within
+	// 12 s.
 	remoteHeartbeatSeconds = 4.0
 	// heartbeatDemands is the number of accounts whose demand changes between two
 	// heartbeats.
@@ -40,7 +41,7 @@
 	// that carry idempotency ids chosen by callers. Above that rate, callers have
 	// to use tickets.
 	idempotencyIDRequests = 100
-	// usedTickets is the number of used tickets that a host remembers.
+	// usedTickets is the number of used tickets that a host keeps.
 	usedTickets = 20_000
 	// limitedAccounts is the number of a site's accounts that are at their rate limit.
 	limitedAccounts = 20
--- a/cmd/block.go
+++ b/cmd/block.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	v, err := (&blockpublish.Blockpublish{Clock: clockwork.NewRealClock(), Platform: p}).Change(ctx, u, r)
+	v, err := (&blockpublish.Blockpublish{Clock: clockwork.NewRealClock(), Store: p}).Change(ctx, u, r)
 	if err != nil {
 		return err
 	}
--- a/cmd/connection.go
+++ b/cmd/connection.go
@@ -140,7 +140,7 @@
 		if e := validate.Config(c); len(e) > 0 {
 			return acceptedversion.Acceptedversion{}, &problem.Problem{Problem: problem.InvalidConfig, Message: "nothing was changed", Mistakes: e}
 		}
-		a, ok, err := (&configcommit.Configcommit{Platform: p}).Commit(ctx, from, *c)
+		a, ok, err := (&configcommit.Configcommit{Store: p}).Commit(ctx, from, *c)
 		if err == nil && !ok {
 			err = &problem.Problem{Problem: problem.Conflict, Message: "the accepted version is another one; nothing was changed", Accepted: a}
 		}
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -45,7 +45,7 @@
 	}
 	p := &platformclient.Platformclient{URL: s.PlatformURL, Timeout: platformTimeout}
 	h := &host.Host{
-		Settings: s, Platform: p.Store(), Clock: clockwork.NewRealClock(), Log: logger(),
+		Settings: s, Store: p.Store(), Clock: clockwork.NewRealClock(), Log: logger(),
 		Incarnation: rand.Uint64(), Counter: &counter.Counter{Prefix: "Requests."},
 	}
 	defer p.Close()
--- a/configcommit/configcommit.go
+++ b/configcommit/configcommit.go
@@ -18,8 +18,8 @@
 
 // Configcommit commits configurations to the platform.
 type Configcommit struct {
-	// Platform stores the accepted configuration.
-	Platform store.Store
+	// Store holds the accepted configuration.
+	Store store.Store
 	// Clock paces the retries after a lost answer; nil means the real clock.
 	Clock clockwork.Clock
 	// OnAccepted is called with a version that was just accepted, so that it is
@@ -71,7 +71,7 @@
 	if !ok {
 		return nil, errors.Errorf("hash of configuration version %d is no longer stored", version)
 	}
-	b, err := c.Platform.GetObject(ctx, acceptedversion.ObjectName(acceptedversion.ConfigKey, h))
+	b, err := c.Store.GetObject(ctx, acceptedversion.ObjectName(acceptedversion.ConfigKey, h))
 	if err != nil {
 		return nil, err
 	}
@@ -84,5 +84,5 @@
 	if k == nil {
 		k = clockwork.NewRealClock()
 	}
-	return &publish.Publish{Clock: k, Platform: c.Platform, Key: acceptedversion.ConfigKey}
+	return &publish.Publish{Clock: k, Store: c.Store, Key: acceptedversion.ConfigKey}
 }
--- a/configfollower/configfollower.go
+++ b/configfollower/configfollower.go
@@ -28,8 +28,8 @@
 	Clock clockwork.Clock
 	// Log receives one line for each applied version.
 	Log *log.Logger
-	// Platform is polled.
-	Platform store.Store
+	// Store is polled.
+	Store store.Store
 	// PollInterval returns the time until the next read of the row.
 	PollInterval func() time.Duration
 	// OnPoll is called after each read that the platform answered. It may be nil.
@@ -56,7 +56,7 @@
 func (f *Configfollower) Replica() *replica.Replica {
 	f.once.Do(func() {
 		f.replica = &replica.Replica{
-			Kind: Kind, Key: acceptedversion.ConfigKey, Log: f.Log, Platform: f.Platform, Apply: f.apply, OnChange: f.OnChange,
+			Kind: Kind, Key: acceptedversion.ConfigKey, Log: f.Log, Store: f.Store, Apply: f.apply, OnChange: f.OnChange,
 			Clock: f.Clock, PollInterval: f.PollInterval, OnPoll: f.OnPoll,
 		}
 	})
--- a/countstore/countstore.go
+++ b/countstore/countstore.go
@@ -35,8 +35,8 @@
 	Clock clockwork.Clock
 	// Log receives one line for each failed write.
 	Log *log.Logger
-	// Platform stores the counts.
-	Platform store.Store
+	// Store holds the counts.
+	Store store.Store
 	// Interval is the interval between two writes.
 	Interval time.Duration
 	// Counts returns the host's counts.
@@ -92,7 +92,7 @@
 		return errors.Wrap(err, "counts")
 	}
 	e := entry{Host: s.Host, Incarnation: s.Incarnation, At: s.At, Hash: acceptedversion.Hash(b)}
-	if err := k.Platform.PutObject(ctx, prefix+e.Hash, b); err != nil {
+	if err := k.Store.PutObject(ctx, prefix+e.Hash, b); err != nil {
 		return err
 	}
 	v, err := codec.Marshal(e)
@@ -106,7 +106,7 @@
 		c.Delete = []string{k.ownKeys[0]}
 	}
 	// Writing the same row twice is harmless, so a lost answer needs no check.
-	if _, err := k.Platform.Commit(ctx, c); err != nil {
+	if _, err := k.Store.Commit(ctx, c); err != nil {
 		return err
 	}
 	k.nextSequence++
@@ -121,7 +121,7 @@
 // that are older than the longest window. Alive reports whether a process still
 // runs and therefore returns its counts itself.
 func (k *Countstore) Load(ctx context.Context, alive func(host string, incarnation uint64) bool) ([]hostcounts.Hostcounts, error) {
-	l, err := k.Platform.Scan(ctx, prefix)
+	l, err := k.Store.Scan(ctx, prefix)
 	if err != nil {
 		return nil, err
 	}
@@ -147,14 +147,14 @@
 	}
 	if len(c.Delete) > 0 {
 		// These rows are no longer needed. After an error the next report deletes them.
-		_, _ = k.Platform.Commit(ctx, c)
+		_, _ = k.Store.Commit(ctx, c)
 	}
 	return r, nil
 }
 
 func (k *Countstore) read(ctx context.Context, hash string) (hostcounts.Hostcounts, error) {
 	var s hostcounts.Hostcounts
-	b, err := k.Platform.GetObject(ctx, prefix+hash)
+	b, err := k.Store.GetObject(ctx, prefix+hash)
 	if err != nil {
 		return s, err
 	}
--- a/countstore/countstore_test.go
+++ b/countstore/countstore_test.go
@@ -69,7 +69,7 @@
 		v.Tallies = append(v.Tallies, requestcounts.Requestcounts{Minute: c.Now().Unix() / 60, Account: "a", Service: "s", Answered: n})
 	}
 	k := &countstore.Countstore{
-		Clock: c, Log: log.New(io.Discard), Platform: s.platform(), Interval: time.Minute,
+		Clock: c, Log: log.New(io.Discard), Store: s.platform(), Interval: time.Minute,
 		Counts: func() hostcounts.Hostcounts {
 			mu.Lock()
 			defer mu.Unlock()
--- a/divisionwriter/divisionwriter.go
+++ b/divisionwriter/divisionwriter.go
@@ -21,15 +21,16 @@
 )
 
 // maxEarlierEpochs bounds the epochs that may be in use at once. No epoch is
-// written while it is reached, so that a host that does not move to later
-// epochs cannot make the row grow without limit.
+// written while this limit is reached. Otherwise a host that does not move to
+// later epochs would make the row grow without limit.
 const maxEarlierEpochs = 8
 
 const (
-	// activeReaders is the number of hosts that read the table at each step.
+	// activeReaders is the number of hosts that read the table at every call of
+	// Step.
 	activeReaders = 2
-	// passiveReadSteps is the number of steps between two reads of any other
-	// host.
+	// passiveReadSteps is the time, in multiples of ReadInterval, after which a
+	// host that is not among the activeReaders reads the table again.
 	passiveReadSteps = 10
 	// startupReadFactor is how many times more often a host without a division
 	// reads the table.
@@ -41,21 +42,21 @@
 )
 
 // minorityWaitHolds is how long, in multiples of Hold, a host that reaches only
-// a minority of the holders leaves the division to others that may still write
-// it.
+// a minority of the holders does not write epochs, because the majority may
+// still write them.
 const minorityWaitHolds = 10
 
 // Divisionwriter runs on every host and reads the division row. The host whose name
-// sorts first writes the next epoch; the others write it only if that host does
-// not. Two hosts that write at the same time cause a commit conflict, but never
-// an unsafe division.
+// sorts first writes the next epoch; another host writes it only if the first does
+// not. Two hosts that write at the same time cause a commit conflict, but never an
+// unsafe division.
 type Divisionwriter struct {
 	// Clock schedules the reads.
 	Clock clockwork.Clock
 	// Log receives one line for each epoch that this host writes.
 	Log *log.Logger
-	// Platform is the store that holds the row.
-	Platform store.Store
+	// Store holds the division row.
+	Store store.Store
 	// Entitlement receives the divisions that are read.
 	Entitlement *entitlement.Entitlement
 	// Alive returns the processes from which this host or one of its peers
@@ -67,8 +68,9 @@
 	// Demand returns the fraction of each limit that hosts request, by limit and
 	// host name.
 	Demand func() map[string]map[string]float64
-	// IsListed reports whether the platform lists a process as live. The list is
-	// updated with a delay, so it is only used to postpone actions of this host.
+	// IsListed reports whether the platform lists a process as running. The list
+	// is updated with a delay, so the writer only postpones epochs because of
+	// it.
 	IsListed func(h holder.Holder) bool
 	// ReadInterval is the time between two reads.
 	ReadInterval time.Duration
@@ -119,7 +121,7 @@
 	if a.firstStepAt.IsZero() {
 		a.firstStepAt = t
 	}
-	r, err := a.Platform.Read(x, division.RowKey)
+	r, err := a.Store.Read(x, division.RowKey)
 	if err != nil {
 		return
 	}
@@ -144,9 +146,9 @@
 }
 
 // shouldRead reports whether this host reads the table now. The activeReaders
-// first hosts always do, so that one of them can write. The others learn of
-// epochs from heartbeats and read only when those do not suffice, since the
-// table serves all hosts.
+// first hosts always read, so that one of them can write. The other hosts
+// receive epochs by heartbeats, and read the table only when the heartbeats do
+// not suffice, to limit the load on the table.
 func (a *Divisionwriter) shouldRead(now time.Time) bool {
 	return a.rank(a.Alive()) < activeReaders || a.Entitlement.NeedsTable() || now.Sub(a.lastReadAt) >= passiveReadSteps*a.ReadInterval
 }
@@ -167,8 +169,8 @@
 	l := a.Alive()
 	if !a.Entitlement.RanWithoutGap() {
 		// A process that has just started or was paused has not received the
-		// heartbeats of the others yet. Without this it would drop all of
-		// them.
+		// heartbeats of the other processes yet. If it wrote an epoch now, it
+		// would remove all of them as holders.
 		l = unionByName(l, d.Holders)
 	}
 	o, ok := a.Entitlement.Current()
@@ -194,8 +196,8 @@
 	return v, n.Sub(a.dueSince) >= time.Duration(a.rank(p.alive))*2*a.ReadInterval
 }
 
-// unionByName returns the processes of a, and those of b whose name is not in
-// a, sorted by name.
+// unionByName returns the processes of a, and the processes of b whose name is
+// not in a, sorted by name.
 func unionByName(a, b []holder.Holder) []holder.Holder {
 	r := append([]holder.Holder(nil), a...)
 	m := make(map[string]bool, len(a))
@@ -212,9 +214,9 @@
 }
 
 // inMinority reports whether this host reaches less than half of the holders
-// while the platform still lists some of the others. Otherwise two sides of a
-// network partition that both reach the table would drop each other again and
-// again.
+// while the platform still lists some of the holders that it cannot reach. If
+// such a host wrote epochs, the two sides of a network partition that both
+// reach the table would remove each other's holders again and again.
 func (a *Divisionwriter) inMinority(d division.Division, alive []holder.Holder, now time.Time) bool {
 	m := make(map[holder.Holder]bool, len(alive))
 	for _, h := range alive {
@@ -257,7 +259,7 @@
 		return
 	}
 	t := a.Clock.Now()
-	ok, err := a.Platform.Commit(ctx, commit.Commit{
+	ok, err := a.Store.Commit(ctx, commit.Commit{
 		Expect: []row.Row{{Key: division.RowKey, Version: r.Version}},
 		Put:    []row.Row{{Key: division.RowKey, Value: b}},
 	})
--- a/divisionwriter/epochbuilder.go
+++ b/divisionwriter/epochbuilder.go
@@ -50,8 +50,8 @@
 }
 
 // silentHolders returns the processes of failure domains from which no
-// heartbeat is received. They keep their floor, since they may still run on the
-// other side of a network partition.
+// heartbeat is received. Their failure domains keep their floors, since the
+// processes may still run on the other side of a network partition.
 func (p *epochBuilder) silentHolders() []holder.Holder {
 	d := make(map[string]bool)
 	for _, h := range p.alive {
@@ -78,9 +78,10 @@
 }
 
 // updateFloors sets the floors of n and reports whether they changed. A change
-// takes two epochs: floors first shrink to what the old and the new ones have
-// in common. The spans that a failure domain loses are given to others only
-// after the domain has reported that it no longer uses them.
+// takes two epochs. In the first, floors shrink to the spans that the old and
+// the new floors have in common. The spans that a failure domain loses are
+// assigned to other domains only after it has reported that it no longer uses
+// them.
 func (p *epochBuilder) updateFloors(n *division.Division) bool {
 	o := p.old
 	n.Floors, n.FloorFraction, n.FloorEpoch = o.Floors, o.FloorFraction, o.FloorEpoch
--- a/divisionwriter/limitdivider.go
+++ b/divisionwriter/limitdivider.go
@@ -20,8 +20,9 @@
 	// region.
 	LinkPrefix = "link/"
 
-	// maxListedAccounts bounds the size of the row. Accounts beyond it use the
-	// default parts.
+	// maxListedAccounts is the maximum number of accounts in a division, which
+	// bounds the size of its row in the table. Other accounts use the default
+	// parts.
 	maxListedAccounts = 1000
 	// demandHeadroom is the factor by which the part of a holder exceeds its
 	// demand, so that the usual variation of requests does not empty its bucket.
@@ -30,10 +31,10 @@
 	// equally regardless of demand, so that the first request on a host finds
 	// tokens.
 	equalShareFraction = 0.1
-	// minTokens is the smallest number of tokens that is worth holding.
+	// minTokens is the smallest number of tokens that a holder is given.
 	minTokens = 2
-	// minMovedFraction is the smallest fraction of a limit that is worth a new
-	// epoch when it moves between holders.
+	// minMovedFraction is the smallest fraction of a limit for which a move
+	// from one holder to another justifies a new epoch.
 	minMovedFraction = 0.05
 	// maxFragments is the number of spans above which the spans of a holder are
 	// assigned from scratch.
@@ -119,7 +120,7 @@
 }
 
 // domainFloor returns the floor of a failure domain: its spans by the new
-// floors, without those that the prior floors assign to other domains.
+// floors, without the spans that the prior floors assign to other domains.
 func (c *limitDivider) domainFloor(domain string) []span.Span {
 	n := c.floorSpans(c.next.Floors, c.next.FloorFraction, domain)
 	for _, d := range c.next.PriorFloors {
@@ -130,7 +131,8 @@
 	return n
 }
 
-// leasableSpans returns the spans outside of all new and prior floors.
+// leasableSpans returns the spans that no floor covers, neither a new nor a
+// prior one.
 func (c *limitDivider) leasableSpans() []span.Span {
 	r := []span.Span{{To: span.FullLength}}
 	for _, d := range c.next.Floors {
@@ -189,7 +191,8 @@
 	return ""
 }
 
-// eligibleHolders returns the holders that may get leased parts of the limit.
+// eligibleHolders returns the holders that may be given leased parts of the
+// limit.
 func (c *limitDivider) eligibleHolders() []holder.Holder {
 	var a, b []holder.Holder
 	if d, ok := strings.CutPrefix(c.limit, SlotsPrefix); ok {
@@ -281,8 +284,9 @@
 	return g
 }
 
-// minPartLength is the length of the smallest part worth having: minTokens
-// tokens of the burst of an account. Limits other than rates have no minimum.
+// minPartLength is the length of the smallest part that a holder is given:
+// minTokens tokens of the burst of an account. Limits other than rates have no
+// minimum.
 func (c *limitDivider) minPartLength() uint32 {
 	n, ok := strings.CutPrefix(c.limit, division.RatePrefix)
 	if !ok {
@@ -307,8 +311,8 @@
 }
 
 // assignSpans assigns spans of the given lengths from the available ones.
-// Holders keep the spans that they have as far as possible, since only spans
-// that move have to wait for their release.
+// Holders keep as many of their spans as possible: a span that moves to another
+// holder cannot be used until the former holder has released it.
 func (c *limitDivider) assignSpans(available []span.Span, lengths map[string]uint32, old func(n string) []span.Span) map[string][]span.Span {
 	r := make(map[string][]span.Span, len(lengths))
 	f := available
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -42,15 +42,15 @@
 )
 
 const (
-	// heartbeatInterval is the time between two heartbeats to a peer. With three
-	// peers in its own region and two in each other region, a host takes part in about
-	// 14 short calls a second, including those that its peers start.
+	// heartbeatInterval is the time between two heartbeats to a peer. With three peers
+	// in its own region and two in each other region, a host takes part in about 14
+	// short calls a second, including the calls that its peers start.
 	heartbeatInterval = time.Second
 	// peerTimeout is the time without a heartbeat after which a host is no longer
 	// offered to callers. A host may miss two heartbeats.
 	peerTimeout = 3 * time.Second
 	// hostListInterval is how often the list of hosts is read again once it is known.
-	// It can be long because new hosts announce themselves by heartbeats.
+	// The interval can be long because new hosts announce themselves by heartbeats.
 	hostListInterval = 20 * time.Second
 	// dialTimeout bounds the opening of a connection to another host.
 	dialTimeout = time.Second
@@ -92,7 +92,8 @@
 	// LimitValues returns the values of the response header in which a backend server
 	// states how many requests a second it accepts from all hosts together.
 	LimitValues func(h http.Header) []string
-	// Gateway serves requests. Its Load is set before Run, its other fields by Edge.
+	// Gateway serves requests. Its ReportedLoad must be set before Run; Edge sets
+	// its other fields.
 	Gateway *gateway.Gateway
 	// RecoveryTime is the time after the end of an outage within which a host must
 	// again have the current configuration and list of backend servers.
@@ -165,13 +166,13 @@
 	}
 }
 
-// Leaving reports whether StartLeaving was called.
-func (e *Edge) Leaving() bool {
+// IsLeaving reports whether StartLeaving was called.
+func (e *Edge) IsLeaving() bool {
 	return e.leaving.Load()
 }
 
-// Ready reports whether this host can serve callers.
-func (e *Edge) Ready() bool {
+// IsReady reports whether this host can serve callers.
+func (e *Edge) IsReady() bool {
 	return e.index.Load() != nil && e.hostsKnown.Load() && !e.leaving.Load()
 }
 
@@ -193,7 +194,7 @@
 	e.borrower = borrower.New()
 	e.borrower.Clock, e.borrower.Self, e.borrower.Hosts = e.Clock, e.self, e.membership.Alive
 	e.borrower.Log, e.borrower.Borrow, e.borrower.Deliver = e.Log, e.client.Borrow, e.client.Lend
-	e.tokens = &tokens.Tokens{Clock: e.Clock, Self: e.Self.Name, Hosts: e.knownHostNames, StartBorrowing: e.borrower.Request, Lend: e.borrower.Lend}
+	e.tokens = &tokens.Tokens{Clock: e.Clock, Self: e.Self.Name, Hosts: e.knownHostNames, StartBorrowing: e.borrower.Request, SendLoan: e.borrower.Lend}
 	e.borrower.OnReceived, e.borrower.RequestDone = e.tokens.Receive, e.tokens.BorrowingDone
 	e.setUpBackendLimits()
 	e.setUpPermits()
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -75,7 +75,7 @@
 		Announce:       func(context.Context, member.Member) error { return nil },
 		Withdraw:       func(context.Context, member.Member) error { return nil },
 		ReadHosts:      func(context.Context) ([]member.Member, error) { return w.members, nil },
-		Upstream:       w.upstream(name, region), LimitValues: limitValues, Gateway: &gateway.Gateway{Load: noReport},
+		Upstream:       w.upstream(name, region), LimitValues: limitValues, Gateway: &gateway.Gateway{ReportedLoad: noReport},
 		RecoveryTime: w.contact, EvacuationTime: evacuate, ColdOverage: 1.5, ColdSlack: 5, RetryRatio: 0.2, RetrySlack: 56,
 		LimitOverage: limitOverage, LimitSlack: limitSlack, LimitWindow: limitWindow,
 	}
@@ -133,8 +133,8 @@
 	}
 	switch command {
 	case "silent", "answers":
-		w.config.Mute(command == "silent", h...)
-		w.backends.Mute(command == "silent", h...)
+		w.config.SetMuted(command == "silent", h...)
+		w.backends.SetMuted(command == "silent", h...)
 	case "slow":
 		d, err := time.ParseDuration(a[0])
 		w.config.SetDelay(d)
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -239,7 +239,7 @@
 
 // sendRequest sends one request to a host if it is ready.
 func (w *deployment) sendRequest(host, object, id string) {
-	if !w.hosts[host].Ready() {
+	if !w.hosts[host].IsReady() {
 		return
 	}
 	p := listingPath + object
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -24,7 +24,7 @@
 func (e *Edge) self() member.Member {
 	m := e.Self
 	m.Leaving = e.leaving.Load()
-	m.Starting = !m.Leaving && !e.Ready()
+	m.Starting = !m.Leaving && !e.IsReady()
 	return m
 }
 
--- a/edge/permits.go
+++ b/edge/permits.go
@@ -17,8 +17,8 @@
 	// time of the store's last response.
 	coldRateLead = 1100 * time.Millisecond
 	// coldEntryDelay is how long after a store outage a backend server may be cold
-	// before its entry shows it. It covers the time between two updates of the entry
-	// and the time to the next response of the store.
+	// before its entry shows it. The delay covers the time between two updates of
+	// the entry and the time to the next response of the store.
 	coldEntryDelay = 2 * time.Second
 )
 
--- a/edge/store.go
+++ b/edge/store.go
@@ -15,9 +15,10 @@
 	// store when its last response has become too old. It covers a call from the
 	// farthest region to a slow store.
 	recheckMargin = 800 * time.Millisecond
-	// replyTimeoutDivisor divides RecoveryTime to get the timeout of a call that does
-	// not wait for changes. A call lost just before the store recovers, the pause after
-	// it and the next call then all end within RecoveryTime.
+	// replyTimeoutDivisor sets the timeout of a call that does not wait for changes,
+	// as a divisor of RecoveryTime. If a call is lost just before the store recovers,
+	// then the timeout of that call, the pause after it and the next call together fit
+	// into RecoveryTime.
 	replyTimeoutDivisor = 3
 	// urgentHeartbeatDelay is the time allowed for a response of the store and for the
 	// urgent heartbeat that reports it within the region.
--- a/entitlement/advance.go
+++ b/entitlement/advance.go
@@ -24,8 +24,8 @@
 	}
 	d.Earlier = nil
 	h.divisions = append(h.divisions, &d)
-	// The host that wrote d knew that no host uses leased parts of an epoch before b,
-	// and that remains true.
+	// When d was written, no host used leased parts of an epoch before b any longer,
+	// and none can use them again.
 	h.minLeasedEpoch = max(h.minLeasedEpoch, b)
 	if b == 1 {
 		h.minFloorEpoch = max(h.minFloorEpoch, 1)
@@ -113,8 +113,8 @@
 //
 // Running hosts of one failure domain receive each other's heartbeats. So once
 // this process has been on the epoch for Hold and has run without a gap for
-// Hold, every running process of the domain knows the epoch, and a process that
-// was paused uses nothing until it has run for Hold.
+// Hold, every running process of the domain has received the epoch, and a
+// process that was paused uses nothing until it has run for Hold.
 func (h *Entitlement) floorUseEnded(i int, now time.Time) bool {
 	k := h.divisions[i].Epoch
 	if h.reportedEpochs.timeSince(k, now) >= h.extendForDrift(h.Hold) && h.ranWithoutGap(now) {
--- a/entitlement/entitlement.go
+++ b/entitlement/entitlement.go
@@ -21,14 +21,14 @@
 	// margin of 2% on either side of a comparison allows each of two clocks to
 	// be off by 1%.
 	driftDivisor = 50
-	// livenessDivisor divides Hold into the longest time between two ticks of a
-	// running process. Running hosts of one failure domain receive each other's
-	// heartbeats within that time too.
+	// livenessDivisor sets the longest time between two ticks of a running
+	// process, as a divisor of Hold. Running hosts of one failure domain also
+	// receive each other's heartbeats within that time.
 	livenessDivisor = 3
 )
 
 // Entitlement tracks the divisions and the epochs in the heartbeats of other hosts,
-// and derives from them what this host may use.
+// and derives from them the parts of limits that this host may use.
 type Entitlement struct {
 	// Clock is the monotonic clock of the host.
 	Clock clockwork.Clock
@@ -95,8 +95,8 @@
 }
 
 // Tick records that the process is running. A gap between two ticks means that
-// the process was paused and missed what the hosts of its failure domain did in
-// the meantime.
+// the process was paused and missed the heartbeats of its failure domain in the
+// meantime.
 func (h *Entitlement) Tick() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -109,8 +109,8 @@
 	h.publish(n)
 }
 
-// ApplyDivision takes a division. Read is the time just before the table read that
-// returned it, or zero if it came from a peer.
+// ApplyDivision applies a division. The parameter read is the time just before the
+// table read that returned it, or zero if it was received from a peer.
 func (h *Entitlement) ApplyDivision(d division.Division, read time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -129,8 +129,9 @@
 	h.publish(n)
 }
 
-// RecordPeerEpoch takes the epoch that a peer reports. Sent is when this host sent the
-// heartbeat that the peer answered, or zero if the peer started the exchange.
+// RecordPeerEpoch records the epoch that a peer reports. The parameter sent is when
+// this host sent the heartbeat that the peer answered, or zero if the peer started the
+// exchange.
 func (h *Entitlement) RecordPeerEpoch(name string, incarnation, epoch uint64, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -182,7 +183,8 @@
 }
 
 // Current returns the division of this host's epoch together with the earlier
-// ones that some host may still use. It returns false if there is none yet.
+// divisions that some host may still use. It returns false if there is none
+// yet.
 func (h *Entitlement) Current() (division.Division, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -238,7 +240,8 @@
 	return d.HoldsLease(h.Self) && n.Sub(h.quorumConfirmedAt(d, n)) > h.Hold/2
 }
 
-// Grant returns what this host may use of a limit.
+// Grant returns the part of a limit that this host may use, with its times of
+// validity.
 func (h *Entitlement) Grant(limit string) grant.Grant {
 	v := h.view.Load()
 	if v == nil {
@@ -247,7 +250,7 @@
 	return v.grant(v.usages.limit(limit))
 }
 
-// Rate returns what this host may use of the rate and burst of an account.
+// Rate returns the part of an account's rate and burst that this host may use.
 func (h *Entitlement) Rate(account string) grant.Grant {
 	v := h.view.Load()
 	if v == nil {
@@ -299,13 +302,14 @@
 	return h.divisions[len(h.divisions)-1].Epoch
 }
 
-// shortenForDrift shortens a wait that is measured by the user of a part.
+// shortenForDrift shortens the time for which a host may use its part. Its
+// clock may be slower than the clock of the process that takes over the part.
 func (h *Entitlement) shortenForDrift(d time.Duration) time.Duration {
 	return d - d/driftDivisor
 }
 
-// extendForDrift lengthens a wait that is measured by a process that wants to
-// take over a part.
+// extendForDrift lengthens the time that a process waits before it takes over a
+// part. Its clock may be faster than the clock of the part's user.
 func (h *Entitlement) extendForDrift(d time.Duration) time.Duration {
 	return d + d/driftDivisor
 }
--- a/entitlement/view.go
+++ b/entitlement/view.go
@@ -80,8 +80,8 @@
 	return v
 }
 
-// publish makes what this host may use at the moment visible to the request
-// path.
+// publish makes the parts that this host may use at the moment visible to the
+// request path.
 func (h *Entitlement) publish(now time.Time) {
 	if len(h.divisions) == 0 {
 		return
@@ -119,8 +119,9 @@
 }
 
 // continueGrants keeps the start times of the grants of o that have not lapsed,
-// and reports whether a lapsed grant is valid again. That counts as a new
-// grant: its bucket must not refill for the time in between.
+// and reports whether a lapsed grant is valid again. A grant that is valid
+// again counts as a new one: its bucket must not refill for the time in which
+// the grant had lapsed.
 func (v *view) continueGrants(o *view, now time.Time) bool {
 	f, l := now.Before(o.floorUntil), now.Before(o.leasedUntil)
 	if f {
@@ -133,7 +134,7 @@
 }
 
 // leasedUntil returns when the leased parts of the current epoch end, unless
-// enough holders or another table read confirm the epoch before.
+// enough holders or another table read confirm the epoch before that time.
 func (h *Entitlement) leasedUntil(now time.Time) time.Time {
 	d := h.divisions[len(h.divisions)-1]
 	if !d.HoldsLease(h.Self) || h.tableReadAt.IsZero() {
@@ -171,8 +172,8 @@
 	return time.Time{}
 }
 
-// floorUntil returns when the floor stops being usable, unless the process
-// ticks again before.
+// floorUntil returns the time at which the floor becomes unusable, unless the
+// process ticks again before that time.
 func (h *Entitlement) floorUntil(now time.Time) time.Time {
 	e := h.epoch()
 	if h.minFloorEpoch == 0 || !h.divisions[len(h.divisions)-1].Includes(h.Self) {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -50,9 +50,9 @@
 	Quota *quota.Quota
 	// RunOnce runs a request with an ID at most once, by calling run.
 	RunOnce func(ctx context.Context, r *request.Request, w http.ResponseWriter, run func(context.Context, *request.Request, http.ResponseWriter) outcome.Outcome) outcome.Outcome
-	// Leaving reports whether the host is shutting down, and Closed whether it
-	// refuses new requests.
-	Leaving, Closed func() bool
+	// IsLeaving reports whether the host is shutting down, and RefusesRequests
+	// whether it refuses new requests.
+	IsLeaving, RefusesRequests func() bool
 	// ServeLocally runs a request in the host's own failure domain.
 	ServeLocally func(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome
 	// Forward runs a request in another failure domain. It returns NoCapacity
@@ -67,12 +67,12 @@
 // ServeHTTP serves one caller request.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, h *http.Request) {
 	t := e.Clock.Now()
-	if e.Leaving() {
+	if e.IsLeaving() {
 		w.Header().Set("Connection", "close")
 	}
 	b := &body{reader: h.Body, writer: w, empty: h.ContentLength == 0}
 	r, o := e.identify(h, b)
-	if o.Outcome == "" && e.Closed() {
+	if o.Outcome == "" && e.RefusesRequests() {
 		o = refuse(outcome.Leaving, "the host is shutting down")
 	}
 	if o.Outcome == "" {
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -105,7 +105,7 @@
 	}
 	s.commitBatch = &commitbatch.Commitbatch{Clock: s.clock, Commit: p.Commit, MaxRows: 64, Timeout: time.Second}
 	i := &idempotency.Idempotency{
-		Clock: s.clock, Platform: p, Host: "a", Incarnation: 1, Timeout: time.Second, CommitBatch: s.commitBatch,
+		Clock: s.clock, Store: p, Host: "a", Incarnation: 1, Timeout: time.Second, CommitBatch: s.commitBatch,
 		IsAlive: func(string, uint64) bool { return false },
 	}
 	s.run(i.Run)
@@ -133,7 +133,7 @@
 			return outcome.Outcome{Outcome: outcome.NoCapacity, Ran: outcome.RanNo}
 		},
 		EntryHosts: func(string, string) []string { return []string{"10.0.0.2:80"} },
-		Leaving:    s.closed.Load, Closed: s.closed.Load,
+		IsLeaving:  s.closed.Load, RefusesRequests: s.closed.Load,
 		OnOutcome: func(_ *request.Request, o outcome.Outcome, _ time.Duration) { s.done <- o.Outcome },
 	}
 }
@@ -162,7 +162,7 @@
 //
 //	backend NAME KNOBS       starts a backend server, or sets the faults of a running one
 //	send METHOD PATH [HEADER]... [=BODY]
-//	                         prints the status, and the outcome and Ran or the answer
+//	                         prints the status, then the body of an answer, or Outcome, Ran and EntryHosts
 //	leave METHOD PATH ...    sends a request and disconnects once a backend server runs it
 //	stall PATH               requests PATH and does not read the answer
 //	half PATH                requests PATH and closes the sending side of the connection
--- a/expiry/expiry.go
+++ b/expiry/expiry.go
@@ -39,8 +39,8 @@
 	Clock clockwork.Clock
 	// Log receives one line for each sweep that removed records or failed.
 	Log *log.Logger
-	// Platform stores the records.
-	Platform store.Store
+	// Store holds the records.
+	Store store.Store
 	// Retention is how long a record is kept.
 	Retention time.Duration
 	// IsSweeper reports whether this host is the one that sweeps. Two sweepers at
@@ -50,9 +50,9 @@
 	nextBucket time.Time
 }
 
-// Index returns the index row that lists a record by its start time. The index
-// row is written in the same commit as the record.
-func Index(key string, started time.Time) []row.Row {
+// IndexRows returns the index row that lists a record by its start time. The
+// index row is written in the same commit as the record.
+func IndexRows(key string, started time.Time) []row.Row {
 	return []row.Row{{Key: bucketPrefix(started) + key, Value: []byte(key)}}
 }
 
@@ -103,7 +103,7 @@
 // sweepBucket removes the expired records of one bucket and returns their
 // number.
 func (e *Expiry) sweepBucket(ctx context.Context, t time.Time) (int, error) {
-	l, err := e.Platform.Scan(ctx, bucketPrefix(t))
+	l, err := e.Store.Scan(ctx, bucketPrefix(t))
 	if err != nil {
 		return 0, err
 	}
@@ -129,7 +129,7 @@
 	n := 0
 	for _, x := range index {
 		k := string(x.Value)
-		o, err := e.Platform.Read(ctx, k)
+		o, err := e.Store.Read(ctx, k)
 		if err != nil {
 			return 0, err
 		}
@@ -141,7 +141,7 @@
 		c.Delete = append(c.Delete, k)
 		n++
 	}
-	ok, err := e.Platform.Commit(ctx, c)
+	ok, err := e.Store.Commit(ctx, c)
 	if err != nil || !ok {
 		return 0, err
 	}
--- a/expiry/expiry_test.go
+++ b/expiry/expiry_test.go
@@ -21,7 +21,7 @@
 func put(t *testing.T, s *memorytable.Memorytable, key string, at time.Time) {
 	b, err := codec.Marshal(record.Record{Attempt: key, Started: at, State: record.Done})
 	must.NoError(t, err)
-	s.Commit(commit.Commit{Put: append(Index(key, at), row.Row{Key: key, Value: b})})
+	s.Commit(commit.Commit{Put: append(IndexRows(key, at), row.Row{Key: key, Value: b})})
 }
 
 // TestRecordsExpire checks that a record is kept until the end of its retention
@@ -33,7 +33,7 @@
 	s := new(memorytable.Memorytable)
 	e := &Expiry{
 		Clock: c, Log: log.New(io.Discard), Retention: 24 * time.Hour,
-		Platform: store.Store{
+		Store: store.Store{
 			Read:   func(_ context.Context, k string) (row.Row, error) { return s.Read(k), nil },
 			Scan:   func(_ context.Context, k string) ([]row.Row, error) { return s.Scan(k), nil },
 			Commit: func(_ context.Context, m commit.Commit) (bool, error) { return s.Commit(m), nil },
--- a/failover/failover.go
+++ b/failover/failover.go
@@ -1,6 +1,6 @@
 // Package failover steers the callers of a lost region to other regions in
-// steps of limited size. It works without a planner, since the lost region may
-// be the one that has the platform.
+// steps of limited size. It works without a planner, since the platform may run
+// in the lost region, and a planner needs the platform.
 package failover
 
 import (
@@ -14,9 +14,9 @@
 )
 
 // Failover holds, for each service and region, the part of the region's callers
-// that is steered to other regions. Each host decides on its own. All hosts
-// take the same steps from about the same time and move the same client blocks,
-// so their parts differ by at most one step.
+// that is steered to other regions. Each host decides without the others. All
+// hosts take the same steps from about the same time and move the same client
+// blocks, so their parts differ by at most one step.
 type Failover struct {
 	// Clock paces the steps.
 	Clock clockwork.Clock
@@ -75,9 +75,9 @@
 	return 0
 }
 
-// RaisePoints takes over the points that a peer has moved if they are more than this
-// host's. Otherwise a host that starts while a region is lost would begin at
-// zero and send the callers that look up there back to the lost region.
+// RaisePoints raises the number of moved points to that of a peer if the peer has
+// moved more. Otherwise a host that starts while a region is lost would begin at
+// zero, and its look-up answers would steer moved callers back to the lost region.
 func (f *Failover) RaisePoints(service, region string, points int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,8 +88,9 @@
 	}
 }
 
-// Each calls do for each region that has moved callers.
-func (f *Failover) Each(do func(service, region string, points int)) {
+// ForEachMoved calls do for each service and region with callers that are
+// steered to other regions.
+func (f *Failover) ForEachMoved(do func(service, region string, points int)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for k, s := range f.states {
@@ -99,8 +100,9 @@
 	}
 }
 
-// Tick takes a step if one is due. Steps lead out of a region while it is lost,
-// and back when it is alive again: its caches are cold then.
+// Tick takes a step if one is due. Steps move callers out of a region while it
+// is lost, and back when it is alive again. The return takes steps too, because
+// the region's caches are cold by then.
 func (f *Failover) Tick(service, region string, alive bool) {
 	h, m := f.Share(service, region), f.FreeCapacity(service)
 	f.mu.Lock()
@@ -144,7 +146,7 @@
 
 // mayStep reports whether a region may take the service's next step. The cap
 // applies to the service: two regions that are lost at the same time share it,
-// and the one that has waited longest goes first.
+// and the region that has waited longest takes its step first.
 func (f *Failover) mayStep(service string, s *regionState, now time.Time, interval time.Duration) bool {
 	for k, o := range f.states {
 		if k.service != service {
--- a/feedstandin/feedstandin.go
+++ b/feedstandin/feedstandin.go
@@ -32,8 +32,9 @@
 	return &Feedstandin{clock: c, changed: make(chan struct{}), muted: make(map[string]bool), muteEpochs: make(map[string]int)}
 }
 
-// Mute starts or ends a period in which calls of the callers get no answer.
-func (s *Feedstandin) Mute(mute bool, callers ...string) {
+// SetMuted starts or ends a period in which calls of the callers receive no
+// answer.
+func (s *Feedstandin) SetMuted(mute bool, callers ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range callers {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -206,7 +206,7 @@
 
 // commitConfig writes the configuration to the platform as its first version.
 func (f *Fleet) commitConfig(ctx context.Context) error {
-	c := &configcommit.Configcommit{Platform: f.platform.Store()}
+	c := &configcommit.Configcommit{Store: f.platform.Store()}
 	_, ok, err := c.Commit(ctx, 0, f.Config)
 	if err != nil {
 		return err
--- a/fleet/hosts.go
+++ b/fleet/hosts.go
@@ -54,8 +54,8 @@
 	return err
 }
 
-// KillHost ends a host like a crash: all its connections break, and nothing
-// that it sends while it ends reaches other hosts or the platform.
+// KillHost simulates the crash of a host: all its connections break, and no
+// message that it sends while it stops reaches other hosts or the platform.
 func (f *Fleet) KillHost(name string) {
 	h := f.hostByName(name)
 	f.network.partition(name, anyLabel)
--- a/fleet/parts.go
+++ b/fleet/parts.go
@@ -160,7 +160,7 @@
 	d := f.network.dialer(h.labels(), f.Clock)
 	p := &platformclient.Platformclient{URL: f.PlatformURL, Timeout: platformTimeout, Dial: d}
 	x := &host.Host{
-		Settings: h.settings, Platform: p.Store(), Clock: f.Clock, Log: f.Log.With("On", h.settings.Name),
+		Settings: h.settings, Store: p.Store(), Clock: f.Clock, Log: f.Log.With("On", h.settings.Name),
 		Incarnation: mathrand.Uint64(), Dial: d, Listen: h.listen, Counter: h.counter,
 	}
 	h.running = true
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -39,8 +39,8 @@
 	// served within the objective.
 	maxWaitDivisor = 8
 	// minPermitRequests is the minimum number of backend servers for which a permit is
-	// requested, even if no waiting time is left, as on a second attempt or after a
-	// permit request to another region.
+	// requested. It applies even if no waiting time is left, as on a second attempt or
+	// after a permit request to another region.
 	minPermitRequests = 2
 	// retryAfter is the delay after which a refused request may be sent again, about
 	// the time in which a backend server finishes its running requests.
@@ -51,8 +51,8 @@
 type Gateway struct {
 	// Clock measures deadlines.
 	Clock clockwork.Clock
-	// Log receives one line for each request that failed, and for a sample of those
-	// that were answered or whose caller left.
+	// Log receives one line for each request that failed, and for a sample of the
+	// requests that were answered or whose caller disconnected.
 	Log *log.Logger
 	// Index returns the configuration in force, or nil before the first one.
 	Index func() *routeindex.Routeindex
@@ -63,12 +63,13 @@
 	Tokens *tokens.Tokens
 	// Placement chooses backend servers for requests.
 	Placement *placement.Placement
-	// RequestPermit requests permission to send one more request to a backend server now. If
-	// it is denied, again is the time after which it may be granted. Nil permits all
-	// requests.
+	// RequestPermit requests permission to send one more request to a backend server now.
+	// If permission is denied, again is the time after which a request for it may
+	// succeed. Nil permits all requests.
 	RequestPermit func(ctx context.Context, b backend.Backend) (again time.Duration, ok bool)
-	// Load reads the load that a backend server reports in the header of a response.
-	Load func(h http.Header) (running, waiting int, ok bool)
+	// ReportedLoad reads the load that a backend server reports in the header of a
+	// response.
+	ReportedLoad func(h http.Header) (running, waiting int, ok bool)
 	// Dispatch sends a request and copies the response to the caller.
 	Dispatch func(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome
 	// Latency records the duration of each answered request.
@@ -81,8 +82,8 @@
 }
 
 // Serve admits and runs r, which was sent to path with the given key. The caller of
-// Serve has set the fields of r that come from the HTTP request. Unless the outcome is
-// Answered, nothing was written to w, and the outcome is the reason.
+// Serve has set the fields of r that come from the HTTP request. If the outcome is not
+// Answered, it is the reason, and nothing was written to w.
 func (g *Gateway) Serve(ctx context.Context, r *request.Request, path, key string, w http.ResponseWriter) outcome.Outcome {
 	n := g.Clock.Now()
 	b := g.Index()
@@ -270,8 +271,9 @@
 	return ok
 }
 
-// retryDelay returns when a request that was not placed may be sent again: if no
-// backend server was usable, not before one may receive requests again.
+// retryDelay returns the time after which a request that was not placed may be
+// sent again. If no backend server was usable, this is not before one of them
+// may receive requests again.
 func (g *Gateway) retryDelay(r *request.Request, usable bool) time.Duration {
 	if usable {
 		return retryAfter
@@ -285,7 +287,7 @@
 	return slot.Slot{
 		Backend: b,
 		OnResponse: func(status int, h http.Header) {
-			n, m, ok := g.Load(h)
+			n, m, ok := g.ReportedLoad(h)
 			if ok {
 				g.Placement.RecordLoad(b.Name, n, m)
 			}
--- a/heartbeatpeers/heartbeatpeers_test.go
+++ b/heartbeatpeers/heartbeatpeers_test.go
@@ -21,10 +21,10 @@
 	return l
 }
 
-// When a host joins in one region, the hosts of the others must reduce their shares of
-// the limits within two heartbeats. Each of them needs a heartbeat peer in that region
-// which has received a heartbeat of the new host directly, also while one of its
-// heartbeat peers does not answer.
+// When a host joins in one region, the hosts of the other regions must reduce their
+// shares of the limits within two heartbeats. Each of these hosts therefore needs a
+// heartbeat peer that has received a heartbeat of the new host directly, even while
+// one of its heartbeat peers does not answer.
 func TestHeartbeatPeerInEachRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "regions")
--- a/host/components.go
+++ b/host/components.go
@@ -76,7 +76,7 @@
 func (x *components) newMembership() *membership.Membership {
 	h := x.host
 	return &membership.Membership{
-		Clock: h.Clock, Log: h.Log, Self: x.self, Seeds: h.Settings.Peers, ListHosts: h.Platform.Hosts,
+		Clock: h.Clock, Log: h.Log, Self: x.self, Seeds: h.Settings.Peers, ListHosts: h.Store.Hosts,
 		Interval: h.Settings.Heartbeat, Hold: h.Settings.Hold, SendHeartbeat: x.peerClient.Beat,
 		FillHeartbeat: x.fillHeartbeat, OnHeartbeat: x.handleHeartbeat,
 	}
@@ -100,7 +100,7 @@
 // as leaving during shutdown.
 func (x *components) announce(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if err := x.host.Platform.Announce(ctx, x.self()); err != nil && ctx.Err() == nil {
+		if err := x.host.Store.Announce(ctx, x.self()); err != nil && ctx.Err() == nil {
 			x.host.Log.Warn("host not announced", "Error", err)
 		}
 		select {
--- a/host/domain.go
+++ b/host/domain.go
@@ -129,8 +129,8 @@
 type remoteCallerKey struct{}
 
 // markRemoteCallers marks the requests of callers that are nearest to another
-// region. Lookups sent those callers to this region, possibly all at the same
-// time.
+// region. Look-ups directed these callers to this region, possibly all of them
+// at the same time.
 func (x *components) markRemoteCallers(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if a, err := netip.ParseAddrPort(r.RemoteAddr); err == nil {
@@ -281,8 +281,8 @@
 }
 
 // slotDomains returns the failure domains whose slots this host may use: the
-// local one, and those of the region that have lost all their hosts and whose
-// slots were assigned to this host.
+// local one, and the failure domains of the region that have lost all their
+// hosts and whose slots were assigned to this host.
 func (x *components) slotDomains() []string {
 	r := []string{x.host.Settings.Domain}
 	s := x.configFollower.Snapshot()
--- a/host/host.go
+++ b/host/host.go
@@ -28,8 +28,9 @@
 type Host struct {
 	// Settings identify the host and configure its addresses and timeouts.
 	Settings settings.Settings
-	// Platform is the users' platform, which stores shared state.
-	Platform store.Store
+	// Store is the store of the users' platform, which holds the state that
+	// hosts share.
+	Store store.Store
 	// Clock is the time source of all components.
 	Clock clockwork.Clock
 	// Log receives the host's events.
--- a/host/limits.go
+++ b/host/limits.go
@@ -76,7 +76,7 @@
 	l.loan.Self, l.loan.Lenders, l.loan.Send, l.loan.OnReceived = m.Name, x.tokenLenders, x.peerClient.Borrow, x.quota.Receive
 	x.quota.Borrow = l.loan.Borrow
 	l.divisionWriter = &divisionwriter.Divisionwriter{
-		Clock: h.Clock, Log: h.Log, Platform: h.Platform, Entitlement: l.entitlement, Alive: x.activeHolders, Config: x.config,
+		Clock: h.Clock, Log: h.Log, Store: h.Store, Entitlement: l.entitlement, Alive: x.activeHolders, Config: x.config,
 		Demand: l.demand.Fractions, IsListed: x.membership.IsListed, ReadInterval: h.Settings.Hold / pollsPerHold, MinEpochInterval: minDemandDivisionInterval,
 	}
 	x.limits = l
--- a/host/operatorapi.go
+++ b/host/operatorapi.go
@@ -48,7 +48,7 @@
 // newBurnCounter creates the components that count requests for the burn report.
 func (x *components) newBurnCounter() {
 	x.burnCounter = &burncounter.Burncounter{Clock: x.host.Clock, Self: x.self(), Latency: x.latencyObjective, SlotLoads: x.serviceQueues.Loads}
-	x.countStore = &countstore.Countstore{Clock: x.host.Clock, Log: x.host.Log, Platform: x.host.Platform, Interval: storeCountsInterval, Counts: x.burnCounter.Counts}
+	x.countStore = &countstore.Countstore{Clock: x.host.Clock, Log: x.host.Log, Store: x.host.Store, Interval: storeCountsInterval, Counts: x.burnCounter.Counts}
 }
 
 // latencyObjective returns the latency objective of a service, zero if there is
@@ -129,7 +129,7 @@
 func (x *components) addMissingHosts(ctx context.Context, s *status.Status) {
 	l, f := context.WithTimeout(ctx, hostListTimeout)
 	defer f()
-	m, err := x.host.Platform.Hosts(l)
+	m, err := x.host.Store.Hosts(l)
 	if err != nil {
 		s.Unlisted = err.Error()
 	}
--- a/host/plans.go
+++ b/host/plans.go
@@ -57,7 +57,7 @@
 func (x *components) newLease() *lease.Lease {
 	h := x.host
 	return &lease.Lease{
-		Clock: h.Clock, Platform: h.Platform, Name: plannerKey, Term: plannerTerm,
+		Clock: h.Clock, Store: h.Store, Name: plannerKey, Term: plannerTerm,
 		Holder: fmt.Sprintf("%s-%d", h.Settings.Name, h.Incarnation),
 	}
 }
@@ -107,7 +107,7 @@
 		return false, err
 	}
 	r := x.steering.plans.Replica()
-	w := &publish.Publish{Clock: x.host.Clock, Platform: x.host.Platform, Key: acceptedversion.PlanKey, Fence: x.steering.lease.Fence}
+	w := &publish.Publish{Clock: x.host.Clock, Store: x.host.Store, Key: acceptedversion.PlanKey, Fence: x.steering.lease.Fence}
 	a, ok, err := w.Commit(ctx, from, b)
 	if err != nil {
 		return false, err
@@ -183,7 +183,7 @@
 	}
 }
 
-// recordOwnLoads adds this host's own loads to those that peers report in
+// recordOwnLoads adds this host's own loads to the loads that peers report in
 // heartbeats.
 func (x *components) recordOwnLoads() {
 	m := x.self()
--- a/host/requests.go
+++ b/host/requests.go
@@ -66,11 +66,11 @@
 	h := x.host
 	q := &x.requests
 	q.idempotency = &idempotency.Idempotency{
-		Clock: h.Clock, Platform: h.Platform, Host: h.Settings.Name, Incarnation: h.Incarnation,
-		CommitBatch: &commitbatch.Commitbatch{Clock: h.Clock, Commit: h.Platform.Commit, MinInterval: minCommitInterval, MaxRows: maxCommitBatch, Timeout: storeTimeout},
-		IsAlive:     x.isProcessAlive, Timeout: storeTimeout, Index: expiry.Index,
+		Clock: h.Clock, Store: h.Store, Host: h.Settings.Name, Incarnation: h.Incarnation,
+		CommitBatch: &commitbatch.Commitbatch{Clock: h.Clock, Commit: h.Store.Commit, MinInterval: minCommitInterval, MaxRows: maxCommitBatch, Timeout: storeTimeout},
+		IsAlive:     x.isProcessAlive, Timeout: storeTimeout, IndexRows: expiry.IndexRows,
 	}
-	q.expiry = &expiry.Expiry{Clock: h.Clock, Log: h.Log, Platform: h.Platform, Retention: retention, IsSweeper: x.runsExpirySweep}
+	q.expiry = &expiry.Expiry{Clock: h.Clock, Log: h.Log, Store: h.Store, Retention: retention, IsSweeper: x.runsExpirySweep}
 	q.tickets = &ticketstore.Ticketstore{
 		Clock: h.Clock, Host: h.Settings.Name, Incarnation: h.Incarnation, HostAddress: x.processCallerAddress,
 		Lifetime: ticketLifetime, MaxAnswerBytes: maxTicketBytes, MaxUsed: maxTickets,
@@ -91,7 +91,7 @@
 	e := &entry.Entry{
 		Clock: x.host.Clock, Log: x.host.Log, Snapshot: x.configFollower.Snapshot, Authenticator: x.authenticator,
 		Quota: x.quota, ServeLocally: x.serveCaller, Forward: x.forward.Serve, EntryHosts: x.entryHosts, OnOutcome: x.recordOutcome,
-		RunOnce: o.Serve, Leaving: x.leaving.Load, Closed: q.closed.Load,
+		RunOnce: o.Serve, IsLeaving: x.leaving.Load, RefusesRequests: q.closed.Load,
 	}
 	m := http.NewServeMux()
 	m.Handle("GET /lookup", x.lookup)
@@ -119,7 +119,7 @@
 
 // shutDown drains the host. It first announces the shutdown and continues to
 // serve hosts and callers that have not received the announcement; then it
-// refuses new requests and waits for those in flight.
+// refuses new requests and waits for the requests in flight.
 func (x *components) shutDown(ctx context.Context) {
 	h := x.host
 	x.leaving.Store(true)
@@ -143,7 +143,7 @@
 	defer close(done)
 	y, f := deadline.With(ctx, x.host.Clock, t)
 	defer f()
-	if err := x.host.Platform.Announce(y, x.self()); err != nil {
+	if err := x.host.Store.Announce(y, x.self()); err != nil {
 		x.host.Log.Warn("leaving not announced", "Host", x.host.Settings.Name, "Error", err)
 	}
 }
--- a/host/steering.go
+++ b/host/steering.go
@@ -96,19 +96,19 @@
 		loadStats: &loadstats.Loadstats{Clock: h.Clock, Window: loadWindow, Timeout: lostAfterHolds * h.Settings.Hold},
 	}
 	s.plans = &planfollower.Planfollower{
-		Clock: h.Clock, Log: h.Log, Platform: h.Platform, PollInterval: x.pollInterval,
+		Clock: h.Clock, Log: h.Log, Store: h.Store, PollInterval: x.pollInterval,
 		OnChange: func() {
 			s.relay.Wake()
 			s.failover.RecordPlan()
 		},
 	}
 	s.blocks = &blockfollower.Blockfollower{
-		Clock: h.Clock, Log: h.Log, Platform: h.Platform, PollInterval: x.pollInterval, OnChange: s.relay.Wake, Timeout: chunksTimeout,
+		Clock: h.Clock, Log: h.Log, Store: h.Store, PollInterval: x.pollInterval, OnChange: s.relay.Wake, Timeout: chunksTimeout,
 		Fetch: func(ctx context.Context, hash string) ([]byte, error) {
 			return s.relay.FetchPart(ctx, s.blocks.Replica(), blockfollower.ChunkKind, hash)
 		},
 	}
-	s.relay.Object = func(kind, hash string) []byte {
+	s.relay.PartByHash = func(kind, hash string) []byte {
 		if kind != blockfollower.ChunkKind {
 			return nil
 		}
@@ -123,14 +123,14 @@
 func (x *components) newConfigFollower() *configfollower.Configfollower {
 	h := x.host
 	return &configfollower.Configfollower{
-		Clock: h.Clock, Log: h.Log, Platform: h.Platform, PollInterval: x.pollInterval, OnChange: x.steering.relay.Wake,
+		Clock: h.Clock, Log: h.Log, Store: h.Store, PollInterval: x.pollInterval, OnChange: x.steering.relay.Wake,
 		OnPoll: x.steering.freshness.RecordContact,
 	}
 }
 
 func (x *components) newConfigCommit() *configcommit.Configcommit {
 	return &configcommit.Configcommit{
-		Platform: x.host.Platform, Clock: x.host.Clock,
+		Store: x.host.Store, Clock: x.host.Clock,
 		// The accepting host applies the change without waiting for its next
 		// poll, so that the withdrawal of a key is distributed to all hosts as
 		// soon as it is accepted.
@@ -148,9 +148,10 @@
 
 // pollInterval returns the time until the next read of the platform. The first
 // two live hosts of a failure domain in name order poll frequently, and the
-// relay distributes what they read: 27 failure domains cause 54 reads per
-// second, regardless of their number of hosts. The other hosts poll rarely, in
-// case only the two frequent readers are disconnected from the platform.
+// relay distributes the contents that they read: 27 failure domains cause 54
+// reads per second, regardless of their number of hosts. The other hosts poll
+// rarely, in case only the two frequent readers are disconnected from the
+// platform.
 func (x *components) pollInterval() time.Duration {
 	if x.isFrequentReader() || x.configFollower.Snapshot() == nil {
 		return frequentPollInterval
@@ -158,7 +159,7 @@
 	return rarePollInterval
 }
 
-// isFrequentReader reports whether this host is one of those of its failure
+// isFrequentReader reports whether this host is one of the hosts of its failure
 // domain that poll the platform frequently.
 func (x *components) isFrequentReader() bool {
 	_, i := x.siblings()
@@ -178,13 +179,13 @@
 
 func (x *components) fillSteering(h *wire.Heartbeat) {
 	for _, r := range x.steering.relay.Replicas {
-		v := r.Digest()
+		v := r.CurrentVersion()
 		v.Hash = acceptedversion.Short(v.Hash)
 		h.Versions = append(h.Versions, v)
 	}
 	h.KeyAgeNanoseconds = x.steering.freshness.OwnAge()
 	x.steering.meter.AddTo(h)
-	x.steering.failover.Each(func(service, region string, points int) {
+	x.steering.failover.ForEachMoved(func(service, region string, points int) {
 		h.Evacuations = append(h.Evacuations, &wire.Evacuation{Service: service, Region: region, PartsPerMillion: uint32(points)})
 	})
 }
@@ -243,12 +244,13 @@
 	return rollout.Compute(version, v, x.self(), k, d, x.membership.LastHeartbeat)
 }
 
-// waitUntilReady admits callers once the host has the newest versions that it
-// can learn of: those of the platform or, while the platform is unreachable,
-// the highest that peers report within Hold. A host that started with the first
-// version it received could accept a key that was withdrawn long ago. Without
-// the plan it would send callers back to a region that the plan has moved them
-// away from, beyond any cap.
+// waitUntilReady admits callers once the host has the newest versions of the
+// distributed contents, such as the configuration and the plan. These are the
+// platform's versions or, while the platform is unreachable, the highest
+// versions that peers report within Hold. With an older configuration, the host
+// could accept a key that was withdrawn long ago. Without the newest plan, it
+// would steer moved callers back to their former region at once, without the
+// cap on steps.
 func (x *components) waitUntilReady(ctx context.Context) error {
 	t := x.host.Clock.Now()
 	for !x.steering.ready.Load() {
@@ -273,8 +275,8 @@
 	return nil
 }
 
-// hasNewestVersions reports whether the host has the newest versions that it
-// can learn of, or has waited for them long enough.
+// hasNewestVersions reports whether the host has the newest versions that the
+// platform or a peer has reported to it, or has waited for them long enough.
 func (x *components) hasNewestVersions(waited time.Duration) bool {
 	if x.configFollower.Snapshot() == nil {
 		return false
@@ -284,7 +286,7 @@
 		x.steering.mu.Lock()
 		n := x.steering.newest[r.Kind]
 		x.steering.mu.Unlock()
-		if r.Digest().Version < n {
+		if r.CurrentVersion().Version < n {
 			// A peer may report a version and be unreachable when this host
 			// fetches it, so the wait is bounded.
 			return waited >= maxReadyWaitHolds*x.host.Settings.Hold
@@ -299,7 +301,7 @@
 }
 
 // hasRateShare reports whether this host has a share of the accounts' rates.
-// Without one it would refuse callers as over their rate that are within it.
+// Without a share, it would refuse callers that are within their rate.
 func (x *components) hasRateShare() bool {
 	s := x.configFollower.Snapshot()
 	if s == nil || len(s.Config.Accounts) == 0 {
--- a/httplisten/guard.go
+++ b/httplisten/guard.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// timeoutOf returns the timeout of a connection in state s. It forgets connections
+// timeoutOf returns the timeout of a connection in state s. It removes connections
 // that have ended.
 func (g *connTimeouts) timeoutOf(c net.Conn, s http.ConnState) *connTimeout {
 	g.mu.Lock()
--- a/httplisten/httplisten.go
+++ b/httplisten/httplisten.go
@@ -31,10 +31,10 @@
 	// BeforeShutdown, if set, runs after ctx has ended and before the listener is
 	// closed.
 	BeforeShutdown func(ctx context.Context)
-	// Limits, if set, returns how long a caller may take for the header of the first
-	// request on a connection, and how long until the header of a later request is
-	// complete; zero means 5 s and 2 min. It is called again for each wait, which
-	// Clock measures.
+	// Limits, if set, returns two time limits. header is the limit for the header of
+	// the first request on a connection; zero means 5 s. idle is the limit from one
+	// answer to the end of the next request's header; zero means 2 min. Limits is
+	// called again for each wait, so that changes apply to open connections.
 	Limits func() (header, idle time.Duration)
 	// Clock measures the waits that Limits bounds.
 	Clock clockwork.Clock
--- a/idempotency/idempotency.go
+++ b/idempotency/idempotency.go
@@ -37,8 +37,8 @@
 type Idempotency struct {
 	// Clock gives the start time of the records, which expiry uses.
 	Clock clockwork.Clock
-	// Platform stores the records.
-	Platform store.Store
+	// Store holds the records.
+	Store store.Store
 	// CommitBatch batches the writes of the rows that permit requests to run.
 	CommitBatch *commitbatch.Commitbatch
 	// Host is the name of this host.
@@ -49,9 +49,9 @@
 	IsAlive func(host string, incarnation uint64) bool
 	// Timeout bounds the wait for the store. After it the request is refused.
 	Timeout time.Duration
-	// Index returns additional rows that Begin writes with the record, so that
+	// IndexRows returns additional rows that Begin writes with the record, so that
 	// expiry can find it; nil means none.
-	Index func(key string, started time.Time) []row.Row
+	IndexRows func(key string, started time.Time) []row.Row
 
 	mu sync.Mutex
 	// active holds the running attempts, and the ended ones until their record
@@ -160,7 +160,7 @@
 		if err == nil && ok {
 			return i.grant(a, v+1)
 		}
-		o, e := i.Platform.Read(x, a.key)
+		o, e := i.Store.Read(x, a.key)
 		if e != nil || x.Err() != nil {
 			return i.refuseUnwritten(ctx, a)
 		}
@@ -269,10 +269,10 @@
 }
 
 func (i *Idempotency) indexRows(a *attempt) []row.Row {
-	if i.Index == nil {
+	if i.IndexRows == nil {
 		return nil
 	}
-	return i.Index(a.key, a.record.Started)
+	return i.IndexRows(a.key, a.record.Started)
 }
 
 func (i *Idempotency) pause(ctx context.Context) {
--- a/idempotency/run.go
+++ b/idempotency/run.go
@@ -142,7 +142,7 @@
 		c.Expect = append(c.Expect, row.Row{Key: a.key, Version: a.version})
 		c.Put = append(c.Put, row.Row{Key: a.key, Value: marshal(a.record)})
 	}
-	if ok, err := i.Platform.Commit(ctx, c); err != nil || !ok {
+	if ok, err := i.Store.Commit(ctx, c); err != nil || !ok {
 		return nil
 	}
 	return s
@@ -152,7 +152,7 @@
 // only a row of this attempt. It also fills an absent row, so that an insert
 // that is still in flight fails its version check.
 func (i *Idempotency) writeOne(ctx context.Context, a *attempt) (bool, error) {
-	o, err := i.Platform.Read(ctx, a.key)
+	o, err := i.Store.Read(ctx, a.key)
 	if err != nil {
 		return false, err
 	}
@@ -165,7 +165,7 @@
 			return true, nil
 		}
 	}
-	return i.Platform.Commit(ctx, commit.Commit{
+	return i.Store.Commit(ctx, commit.Commit{
 		Expect: []row.Row{{Key: a.key, Version: o.Version}},
 		Put:    []row.Row{{Key: a.key, Value: marshal(a.record)}},
 	})
--- a/idempotency/store_test.go
+++ b/idempotency/store_test.go
@@ -88,7 +88,7 @@
 func newHost(c clockwork.Clock, s *faultyStore, name string, incarnation uint64, alive func(string, uint64) bool) *idempotency.Idempotency {
 	p := s.platform()
 	return &idempotency.Idempotency{
-		Clock: c, Platform: p, Host: name, Incarnation: incarnation, IsAlive: alive, Timeout: 100 * time.Millisecond,
+		Clock: c, Store: p, Host: name, Incarnation: incarnation, IsAlive: alive, Timeout: 100 * time.Millisecond,
 		// Without MinInterval and Timeout, because advance would count their timers.
 		CommitBatch: &commitbatch.Commitbatch{Clock: c, Commit: p.Commit, MaxRows: 16},
 	}
--- a/keepalive/keepalive_test.go
+++ b/keepalive/keepalive_test.go
@@ -9,9 +9,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// A stream goes silent while a caller waits on it. The other end counts as lost
-// after the configured time, which is shorter before the first message,
-// restarts with each message and excludes the time in which the reader is busy.
+// A stream goes silent while a caller waits on it. The other end must count as
+// lost after MaxFirstSilence, or after MaxSilence once a message was received.
+// Each message restarts this time, and it does not run while the reader is
+// busy.
 func TestSilence(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	p := &Keepalive{Clock: c, MaxFirstSilence: time.Second, MaxSilence: 3 * time.Second}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -30,8 +30,8 @@
 type Lease struct {
 	// Clock is the monotonic clock of the host.
 	Clock clockwork.Clock
-	// Platform is the store that holds the row.
-	Platform store.Store
+	// Store holds the lease row.
+	Store store.Store
 	// Name is the key of the row.
 	Name string
 	// Holder names this process; it must differ between incarnations.
@@ -52,7 +52,7 @@
 	Holder string
 	Epoch  uint64
 	Term   time.Duration
-	// Renewal increases with each renewal, so that other hosts see a changed
+	// Renewal increases with each renewal, so that other hosts read a changed
 	// row.
 	Renewal uint64
 }
@@ -99,7 +99,7 @@
 func (l *Lease) Step(ctx context.Context) {
 	x, f := clockwork.WithTimeout(ctx, l.Clock, l.Term/renewalsPerTerm)
 	defer f()
-	r, err := l.Platform.Read(x, l.Name)
+	r, err := l.Store.Read(x, l.Name)
 	if err != nil {
 		return
 	}
@@ -112,7 +112,7 @@
 		return
 	}
 	t := l.Clock.Now()
-	ok, err = l.Platform.Commit(x, commit.Commit{
+	ok, err = l.Store.Commit(x, commit.Commit{
 		Expect: []row.Row{{Key: l.Name, Version: r.Version}},
 		Put:    []row.Row{{Key: l.Name, Value: b}},
 	})
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -63,7 +63,7 @@
 	if len(a) > 1 {
 		v.speed = map[string]float64{"fast": 1.01, "slow": 0.99}[a[1]]
 	}
-	v.Lease = &lease.Lease{Clock: v.clock, Name: "planner", Holder: a[0], Term: term, Platform: store.Store{Read: r.read, Commit: r.commit}}
+	v.Lease = &lease.Lease{Clock: v.clock, Name: "planner", Holder: a[0], Term: term, Store: store.Store{Read: r.read, Commit: r.commit}}
 	r.leases[a[0]] = v
 }
 
--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -22,12 +22,13 @@
 
 const (
 	// hostsPerAccount is the number of a region's hosts that an account's
-	// callers share. With few hosts, the account's tokens are on the hosts
-	// that its callers use; with three, the loss of a host moves a third of
-	// the callers.
+	// callers share. With so few hosts, the account's tokens are at the hosts
+	// that its callers use; with three, the loss of one host moves only a third
+	// of the callers.
 	hostsPerAccount = 3
 	// maxEntryHosts is the maximum number of hosts in an answer. It is more
-	// than a failure domain has, so that some remain when one drains.
+	// than the hosts of one failure domain, so that some entry hosts remain
+	// when a failure domain drains.
 	maxEntryHosts = 6
 	// ttlJitter is the fraction of the time to live that is random, so that
 	// callers that looked up at the same time do not return at the same
@@ -40,8 +41,8 @@
 	fallbackBitsIPv6 = 48
 )
 
-// Lookup answers GET /lookup from memory alone. Without the platform, peers or
-// a planner it continues with the data that it has.
+// Lookup answers GET /lookup only with data that it has in memory. Without the
+// platform, peers or a planner it continues with the data that it has.
 type Lookup struct {
 	// Snapshot returns the configuration in force, nil before the first.
 	Snapshot func() *snapshot.Snapshot
@@ -203,8 +204,8 @@
 }
 
 // refuseUntilMoved refuses a caller of a lost region that has not been moved
-// yet. It names the last known hosts of the region, which may only be
-// unreachable from this host.
+// yet. The answer names the last known hosts of the region, because they may
+// still run and be unreachable only from this host.
 func (l *Lookup) refuseUntilMoved(region string) outcome.Outcome {
 	o := outcome.Outcome{
 		Outcome: outcome.NoCapacity, Ran: outcome.RanNo, RetryAfter: time.Second,
@@ -219,8 +220,8 @@
 	return o
 }
 
-// rankHosts orders a region's hosts: the account's preferred hosts, then
-// others, then those in draining failure domains that no longer take this
+// rankHosts orders a region's hosts: first the account's preferred hosts, then
+// other hosts, then hosts in draining failure domains that no longer serve this
 // caller. The preferred hosts are in random order, so that callers that share
 // an address, as behind network address translation, are spread as well.
 func (l *Lookup) rankHosts(account, region, block string, o *roster.Roster, p *plan.Plan) []member.Member {
--- a/mirror/feed.go
+++ b/mirror/feed.go
@@ -56,8 +56,8 @@
 }
 
 // fetchNext waits for the next change. It does not wait if the store may be
-// unreachable: an immediate response shows that the store is back and which changes
-// were missed.
+// unreachable: an immediate response shows that the store is reachable again, and
+// contains the missed changes.
 func (m *Mirror) fetchNext(ctx context.Context) response {
 	m.mu.Lock()
 	d := m.unreachable || m.waitAborted || m.needsFullRead || m.tableVersion == 0
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -32,7 +32,7 @@
 	// plus the latency from the farthest region.
 	directUpdateTimeout = 950 * time.Millisecond
 	// incompletePeriod is how long rows may be missing after the store's recovery:
-	// those that expired during the outage are written again within two seconds.
+	// rows that expired during the outage are written again within two seconds.
 	incompletePeriod = 2 * time.Second
 )
 
@@ -56,8 +56,8 @@
 	// for the first change for at most wait. It returns ErrHistoryLost if the full
 	// table must be read instead.
 	ReadChanges func(ctx context.Context, after uint64, wait time.Duration) ([]row.Row, uint64, error)
-	// CloseIdle closes idle connections to the store. If a call gets no response, the
-	// idle connections may be dead as well. Nil keeps them open.
+	// CloseIdle closes idle connections to the store. If a call receives no response,
+	// the idle connections may be dead as well. Nil keeps them open.
 	CloseIdle func()
 	// LongPollTimeout returns the maximum duration of one long poll with ReadChanges.
 	LongPollTimeout func() time.Duration
@@ -68,9 +68,9 @@
 	// table. In an outage of the store a long poll may be lost without an error, which
 	// only the passing of time reveals. When the store has answered no host for
 	// StoreTimeout, the long poll is aborted and the store is called again at once.
-	// Answers on other tables do not count: after a short outage their calls may work
-	// while all calls for this table are lost. If StoreFreshness is nil, long polls are
-	// never aborted early.
+	// Answers to calls for other tables do not count: after a short outage such calls
+	// may succeed while all calls for this table are lost. If StoreFreshness is nil,
+	// long polls are never aborted early.
 	StoreFreshness *freshness.Freshness
 	// StoreTimeout is how long the store may answer no host before long polls are
 	// aborted.
@@ -100,7 +100,7 @@
 type content struct {
 	Seen    uint64
 	Changed uint64
-	Doubt   time.Duration // for how much longer rows may be missing
+	Doubt   time.Duration // how much longer rows may be missing
 	Rows    []row.Row
 }
 
@@ -217,7 +217,7 @@
 // shows. A row that is missing now was removed at an unknown version up to that of
 // the read, so the version of the read is returned. Without a previous copy only
 // the rows' versions are known. This is safe because hosts with a later version do
-// not fetch an older copy.
+// not replace their copy by an older one.
 func (m *Mirror) lastChangeIn(l []row.Row, version uint64) uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -288,9 +288,10 @@
 }
 
 // recentlyUnreachable reports whether the store is unreachable from this host or
-// rows may still be missing after such an outage. A host that could reach the store
-// all the time knows that there was no outage: rows that another host considers
-// possibly missing after its own outage have really been removed.
+// rows may still be missing after such an outage. If this host could reach the
+// store without interruption, there was no outage of the store. Rows that another
+// host considers possibly missing after it could not reach the store have then
+// really been removed.
 func (m *Mirror) recentlyUnreachable() bool {
 	return m.unreachable || m.Clock.Now().Before(m.incompleteUntil)
 }
--- a/mirror/probe.go
+++ b/mirror/probe.go
@@ -9,15 +9,15 @@
 )
 
 // callTimeoutFactor times ReplyTimeout is the timeout of one call. A slow store can
-// still answer the call, while later calls in parallel show whether it was lost in an
-// outage.
+// still answer the call, while later calls in parallel show whether the call was lost
+// in an outage.
 const callTimeoutFactor = 4
 
 var errCallTimeout = errors.New("store did not answer in time")
 
-// probe makes calls that do not wait for a change. It starts the next one whenever the
-// last has taken ReplyTimeout and a retry delay, and returns the first result that is
-// not errCallTimeout.
+// probe makes calls that do not wait for a change, and returns the first result that
+// is not errCallTimeout. If a call has no result after ReplyTimeout and a retry delay,
+// the next call starts in parallel.
 func (m *Mirror) probe(ctx context.Context) response {
 	x, f := context.WithCancel(ctx)
 	c := make(chan response)
--- a/mirror/silence_test.go
+++ b/mirror/silence_test.go
@@ -196,11 +196,11 @@
 	late := 0
 	for range 3 {
 		clock.Sleep(time.Duration(r.Int64N(int64(longPollWait))))
-		q.store.Mute(true, all...)
-		b.store.Mute(true, all...)
+		q.store.SetMuted(true, all...)
+		b.store.SetMuted(true, all...)
 		clock.Sleep(time.Duration(r.Int64N(int64(trustPeriod))))
-		q.store.Mute(false, all...)
-		b.store.Mute(false, all...)
+		q.store.SetMuted(false, all...)
+		b.store.SetMuted(false, all...)
 		late += q.changeAfterSilence(r)
 	}
 	stop()
@@ -246,13 +246,13 @@
 				h = append(h, fmt.Sprint(i))
 			}
 		}
-		f.store.Mute(true, h...)
+		f.store.SetMuted(true, h...)
 		for range r.IntN(3) {
 			clock.Sleep(time.Duration(r.Int64N(int64(6 * time.Second))))
 			f.change()
 		}
 		clock.Sleep(time.Duration(r.Int64N(int64(4 * time.Second))))
-		f.store.Mute(false, h...)
+		f.store.SetMuted(false, h...)
 		late += f.changeAfterSilence(r)
 		clock.Sleep(time.Duration(r.Int64N(int64(longPollWait))))
 	}
--- a/permits/allocation.go
+++ b/permits/allocation.go
@@ -185,7 +185,7 @@
 }
 
 // sharePerSlot returns the fraction of one region's requests that placement sends to
-// each slot in a region, which may be the same one.
+// each slot in a region, which may be the region of the requests itself.
 func (p *Permits) sharePerSlot(from, to string, slots map[string]int) float64 {
 	t := 0.0
 	for _, r := range slices.Sorted(maps.Keys(slots)) {
--- a/permits/permits.go
+++ b/permits/permits.go
@@ -22,15 +22,16 @@
 	requestTimeout = 300 * time.Millisecond
 	// unreachableFor is how long no permits are requested from a host that did not answer.
 	unreachableFor = 2 * time.Second
-	// minRefusal is the minimum time for which a refusal holds.
+	// minRefusal is the minimum time for which a refusal is valid.
 	minRefusal = 10 * time.Millisecond
 )
 
 // Permits grants permits to send one request to a backend server. Each region has a
 // quota, a part of the bound, which one or two of its hosts grant; the other hosts send
-// them requests. Nearly all of the bound can thus be used, wherever callers connect, whereas a
-// fixed quota per host would be only one or two requests. The quotas of regions are
-// fixed, so that partitioned hosts together send no more than connected ones.
+// them requests. Nearly all of the bound can thus be used, wherever callers connect,
+// whereas with a fixed quota per host, each host could send only one or two requests. The
+// quotas of regions are fixed, so that partitioned hosts together send no more than
+// connected ones.
 type Permits struct {
 	// Clock is the time source of the grants.
 	Clock clockwork.Clock
@@ -38,8 +39,8 @@
 	Log *log.Logger
 	// Self is this host.
 	Self member.Member
-	// Started is when this process started. The grants of the process before it are
-	// unknown.
+	// Started is when this process started. The grants of the host's previous
+	// process are unknown.
 	Started time.Time
 	// Hosts returns all hosts that may send requests, including this one, or none until
 	// they are known.
@@ -61,7 +62,7 @@
 	grants           map[string][]time.Time // times of the latest grants, by backend server
 	allocations      map[string]allocation  // by backend server
 	refusedUntil     map[refusal]time.Time  // end of the last refusal
-	unreachableUntil map[string]time.Time   // when a host may be asked again, by host
+	unreachableUntil map[string]time.Time   // when a permit may be requested from a host again, by host
 	rotation         int                    // incremented with each permit request, to rotate the granters
 	hosts            []member.Member
 	hostsUpdated     time.Time // when hosts was last updated
@@ -89,7 +90,7 @@
 		}
 	}
 	if ctx.Err() != nil {
-		return 0, false // the caller has gone; the hosts may be reachable
+		return 0, false // the caller has disconnected; the hosts may be reachable
 	}
 	p.increment(&p.denied)
 	if retryAfter == 0 {
@@ -139,7 +140,8 @@
 	return unreachableFor, false
 }
 
-// backoff returns how long a host must not be asked, zero if it may be.
+// backoff returns for how long no permit may be requested from a host, zero if
+// one may be requested now.
 func (p *Permits) backoff(h member.Member, q *wire.PermitRequest) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -31,12 +31,12 @@
 	// backend server usually restarts.
 	firstEjection = time.Second
 	// maxEjectedFraction is the greatest fraction of a service's backend servers that
-	// is ejected. When more fail, the cause is elsewhere.
+	// is ejected. When more fail, the cause is not in the backend servers.
 	maxEjectedFraction = 0.5
 )
 
-// Placement places requests by the load of the backend servers as this host sees it:
-// its own requests, and the requests of all hosts as reported in answers.
+// Placement chooses backend servers by their load, as far as this host can observe
+// it: its own requests, and the requests of all hosts as reported in answers.
 type Placement struct {
 	// Clock measures the age of reports.
 	Clock clockwork.Clock
@@ -272,8 +272,8 @@
 }
 
 // observeDuration updates the averages with the duration of a request. Canceled requests
-// count for the backend server's average: where queues are so long that requests time
-// out, few end otherwise.
+// count for the backend server's average: when its queue is so long that requests time
+// out, few requests end in another way.
 func (p *Placement) observeDuration(s *server, route string, d time.Duration, r result.Result) {
 	if r == result.Succeeded {
 		p.updateRouteDuration(route, d)
--- a/placement/server.go
+++ b/placement/server.go
@@ -17,7 +17,8 @@
 	// active.
 	reportLifeFactor = 3
 	minReportLife    = time.Second
-	// durationSamples is the number of requests over which that mean is taken.
+	// durationSamples is the number of requests over which the mean duration of
+	// a backend server's requests is taken.
 	durationSamples = 16
 	// fullAfterShed is how long a backend server counts as full after it refused a
 	// request for lack of room.
@@ -45,7 +46,8 @@
 	coldUntil    time.Time       // cold until then
 	deniedUntil  time.Time       // no permit to send requests until then
 	coldSends    []time.Time     // times of recent requests sent while it was cold
-	// objects are those that it has recently worked on for this host.
+	// objects are the objects that the backend server has recently worked on
+	// for this host.
 	objects *simplelru.LRU[string, struct{}]
 }
 
@@ -81,7 +83,8 @@
 
 // updateDuration adds the duration of a request to the mean. The reported load of a
 // backend server with long requests or a long queue is valid for longer. If reports
-// decayed too soon, each host would send it more, and all queued requests would time out.
+// decayed too soon, each host would send the backend server more requests, and all queued
+// requests would time out.
 func (s *server) updateDuration(d time.Duration) {
 	if s.meanDuration == 0 {
 		s.meanDuration = d
@@ -145,8 +148,8 @@
 }
 
 // hasOverdue reports whether a request runs there for much longer than the mean of its
-// route: the backend server is slow, doesn't respond, or has a queue that isn't in any
-// load report yet.
+// route: the backend server is then slow, does not respond, or has a queue that no
+// load report includes yet.
 func (p *Placement) hasOverdue(s *server, now time.Time) bool {
 	for _, f := range s.running {
 		u, ok := p.routeDurations[f.route]
--- a/placementsimulation/placementsimulation.go
+++ b/placementsimulation/placementsimulation.go
@@ -18,8 +18,9 @@
 	"celeryreach.example/celeryreach/timeline"
 )
 
-// The model follows the gallery service: the duration of its requests, its objects, and how
-// much faster a backend server is on a cached object.
+// The simulated service resembles an image gallery. The constants set the duration of its
+// requests, the number of its objects, and how much faster a backend server handles a
+// cached object.
 const (
 	hostCount        = 8
 	serverCount      = 12
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -7,9 +7,9 @@
 	"celeryreach.example/celeryreach/route"
 )
 
-// Plan is one version of the steering. Like the configuration, it is only
-// replaced by a higher version. Without a planner or the platform the last plan
-// stays in force.
+// Plan is one version of the rules that steer callers to regions. Like the
+// configuration, it is only replaced by a higher version. Without a planner or
+// the platform the last plan stays in force.
 type Plan struct {
 	// Version grows by one with each plan.
 	Version uint64
--- a/planfollower/planfollower.go
+++ b/planfollower/planfollower.go
@@ -26,8 +26,8 @@
 	Clock clockwork.Clock
 	// Log receives one line for each applied version.
 	Log *log.Logger
-	// Platform is polled.
-	Platform store.Store
+	// Store is polled.
+	Store store.Store
 	// PollInterval returns the time until the next read of the plan's row.
 	PollInterval func() time.Duration
 	// OnChange is called after a version was applied; it may be nil.
@@ -47,7 +47,7 @@
 func (f *Planfollower) Replica() *replica.Replica {
 	f.once.Do(func() {
 		f.replica = &replica.Replica{
-			Kind: Kind, Key: acceptedversion.PlanKey, Log: f.Log, Platform: f.Platform, Apply: f.apply, OnChange: f.OnChange,
+			Kind: Kind, Key: acceptedversion.PlanKey, Log: f.Log, Store: f.Store, Apply: f.apply, OnChange: f.OnChange,
 			Clock: f.Clock, PollInterval: f.PollInterval,
 		}
 	})
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -39,8 +39,8 @@
 	Observe func() []observation.Observation
 	// Current returns the plan in force, nil before the first.
 	Current func() *plan.Plan
-	// FailoverIdle reports whether nothing else has moved callers recently; nil
-	// means that nothing else moves callers.
+	// FailoverIdle reports whether failover has moved no callers recently; nil
+	// means that there is no failover.
 	FailoverIdle func() bool
 	// LeaseEpoch returns the epoch of the planner lease and whether this planner
 	// holds it.
@@ -92,10 +92,9 @@
 	}
 }
 
-// Tick observes the regions once and publishes a plan if callers have to be
-// moved. A planner that has just acquired the lease does not know when its
-// predecessor took the last step, so it waits as if that step had been taken
-// now.
+// Tick observes the regions once and publishes a plan if callers must be moved.
+// A planner that has just acquired the lease has no record of its predecessor's
+// last step, so it waits as if that step had been taken now.
 func (p *Planner) Tick(ctx context.Context) error {
 	e, ok := p.LeaseEpoch()
 	if !ok {
@@ -130,9 +129,8 @@
 		p.Log.Info("plan published", "Version", m.Version, "Epoch", e, "Reason", m.Reason)
 	}
 	if !ok && err == nil {
-		// The publication was refused, so no callers were moved. After
-		// an error the plan may have been published, and the steps
-		// count.
+		// The publication was refused, so no callers were moved. After an
+		// error, the plan may have been published, so the steps are counted.
 		p.states = k
 	}
 	return err
--- a/planner/serviceview.go
+++ b/planner/serviceview.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// Answers are slow when their latency exceeds slowLatencyFactor times
-	// that before the first step, plus slowLatencyMargin. A cold cache
+	// Answers are slow when their latency exceeds slowLatencyFactor times their
+	// latency before the first step, plus slowLatencyMargin. A cold cache
 	// raises the latency long before it causes failures.
 	slowLatencyFactor = 2
 	slowLatencyMargin = 10 * time.Millisecond
@@ -29,13 +29,14 @@
 	// a destination may take. Each further step that is not reverted
 	// doubles it.
 	firstStepFraction = 0.25
-	// minStep is the smallest fraction of a service's callers worth a step.
+	// minStep is the smallest fraction of a service's callers that a step
+	// moves.
 	minStep = 0.001
 	// avoidIntervals is the number of step intervals for which a
 	// destination that failed is avoided.
 	avoidIntervals = 4
-	// baselineIntervals is the number of step intervals after the last step
-	// to a destination during which its answers are compared with those
+	// baselineIntervals is the number of step intervals after the last step to
+	// a destination during which its answers are compared with the answers
 	// before the first step.
 	baselineIntervals = 16
 	// minCallers is the least fraction of callers assumed for a home
@@ -132,8 +133,9 @@
 	return shift{}
 }
 
-// returnHome returns callers to the home region that has the most of them
-// elsewhere, if the region can serve them below returnUtilization.
+// returnHome returns the largest step that moves callers from one region back
+// to their home region, as far as the home region can serve them below
+// returnUtilization.
 func (v *serviceView) returnHome(m *plan.Plan, s *shiftState) shift {
 	c := shift{reason: "back home"}
 	for _, n := range v.names {
@@ -211,8 +213,8 @@
 }
 
 // moves distributes a step over the home regions. Callers whose home is the
-// destination go first, so that they return home, then those whose home is
-// neither region.
+// destination move first, so that they return home, then callers whose home is
+// neither of the two regions.
 func (c shift) moves(m *plan.Plan, v *serviceView) []move {
 	n := append([]string(nil), v.names...)
 	sort.SliceStable(n, func(i, j int) bool { return c.homePriority(n[i]) < c.homePriority(n[j]) })
@@ -229,8 +231,8 @@
 	return r
 }
 
-// homePriority returns the rank of a home region in a step; the lowest goes
-// first.
+// homePriority returns the rank of a home region in a step; callers of the
+// lowest rank move first.
 func (c shift) homePriority(home string) int {
 	switch home {
 	case c.to:
--- a/publish/publish.go
+++ b/publish/publish.go
@@ -24,8 +24,8 @@
 type Publish struct {
 	// Clock paces the retries after a lost answer.
 	Clock clockwork.Clock
-	// Platform stores the row and the objects.
-	Platform store.Store
+	// Store holds the row and the objects.
+	Store store.Store
 	// Key is the key of the row.
 	Key string
 	// Fence adds conditions to a commit, such as a lease that must still be
@@ -36,7 +36,7 @@
 // Current returns the accepted version and the version of its row.
 func (p *Publish) Current(ctx context.Context) (acceptedversion.Acceptedversion, uint64, error) {
 	var a acceptedversion.Acceptedversion
-	r, err := p.Platform.Read(ctx, p.Key)
+	r, err := p.Store.Read(ctx, p.Key)
 	if err != nil {
 		return a, 0, errors.Wrap(err, "read the accepted version")
 	}
@@ -56,7 +56,7 @@
 	}
 	a := o.Next(acceptedversion.Hash(content))
 	// The content is stored first, because a row must never name an absent object.
-	if err := p.Platform.PutObject(ctx, acceptedversion.ObjectName(p.Key, a.Hash), content); err != nil {
+	if err := p.Store.PutObject(ctx, acceptedversion.ObjectName(p.Key, a.Hash), content); err != nil {
 		return o, false, errors.Wrap(err, "store content")
 	}
 	b, err := codec.Marshal(a)
@@ -90,7 +90,7 @@
 			case <-p.Clock.After(commitRetryDelay):
 			}
 		}
-		k, err := p.Platform.Commit(ctx, c)
+		k, err := p.Store.Commit(ctx, c)
 		if err == nil && k {
 			return a, true, nil
 		}
--- a/queue/class.go
+++ b/queue/class.go
@@ -26,8 +26,8 @@
 		c.byName[name] = a
 	}
 	if a.index < 0 {
-		// The weight of an account with waiting requests does not change, so that
-		// totalWeight stays the sum.
+		// The weight of an account does not change while it has waiting requests,
+		// so that totalWeight remains the sum of the weights.
 		a.weight = weight
 	}
 	return a
@@ -40,8 +40,8 @@
 	if a.index >= 0 {
 		return
 	}
-	// An account gets no credit for the time that it was idle; otherwise it
-	// would starve the others after its return.
+	// An account receives no credit for the time that it was idle; otherwise it
+	// would starve the other accounts when it sends requests again.
 	a.virtualTime = max(a.virtualTime, c.virtualTime)
 	c.totalWeight += a.weight
 	heap.Push(&c.waitingAccounts, a)
--- a/queue/estimate.go
+++ b/queue/estimate.go
@@ -28,8 +28,8 @@
 	meanHold    float64
 	lastRelease time.Time
 	// nonEmptySince is when the queue last became non-empty. The time without a
-	// release is counted from here at the earliest, because an idle queue has no
-	// releases either.
+	// release is counted from nonEmptySince at the earliest, because an idle
+	// queue has no releases either.
 	nonEmptySince time.Time
 }
 
@@ -42,9 +42,9 @@
 	e.meanHold += smoothing * (min(t, maxSampleRatio*e.meanHold) - e.meanHold)
 }
 
-// serveTime returns the time in which n requests get a slot, zero if there are
-// no samples yet. A long time without any release counts as a longer hold time,
-// because unresponsive backend servers yield no samples.
+// serveTime returns the time in which n requests are granted a slot, zero if
+// there are no samples yet. A long time without any release counts as a longer
+// hold time, because unresponsive backend servers yield no samples.
 func (e *estimate) serveTime(n float64, now time.Time) time.Duration {
 	if e.meanHold == 0 {
 		return 0
@@ -54,9 +54,10 @@
 }
 
 // expectedWait returns the time until the request at the given position of an
-// account's queue is served, if no other requests arrive. At most the whole
-// class is served before it, and at most the shares that the other accounts get
-// in the meantime. Deferred requests wait for the urgent ones as well.
+// account's queue is served, if no other requests arrive. The requests served
+// before it are at most all waiting requests of the class, and at most the
+// shares that the other accounts receive in the meantime. Deferred requests
+// wait for the urgent ones as well.
 func (q *Queue) expectedWait(c *class, a *accountQueue, place int, now time.Time) time.Duration {
 	t := c.estimate.serveTime(min(float64(c.waiting), float64(place)*c.totalWeight/a.weight), now)
 	if c == &q.deferred && q.urgent.waiting > 0 {
@@ -67,9 +68,9 @@
 
 // missesDeadline reports whether the request at the given position of an
 // account's queue cannot be served before its deadline. When the newest request
-// is served first, the others also wait for those that arrive in the meantime.
-// If these arrive faster than they are served or leave, an overtaken request
-// has no chance to be served while that lasts.
+// is served first, older requests also wait for all requests that arrive in the
+// meantime. While requests arrive faster than they are served or abandoned, the
+// older requests are never served.
 func (q *Queue) missesDeadline(c *class, a *accountQueue, w *waiter, place int, now time.Time) bool {
 	t := q.expectedWait(c, a, place, now)
 	if w != a.latest && q.NewestFirstAfter > 0 && now.Sub(w.entered) > q.NewestFirstAfter {
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -50,8 +50,8 @@
 
 // Wait waits up to d for a slot. It returns a slot if the outcome's text is
 // empty, otherwise the reason for the refusal. With Precedes set, a request is
-// served only when none waits in that queue, and on no more than half of the
-// slots.
+// served only when no request waits in the queue Precedes, and on no more than
+// half of the slots.
 func (q *Queue) Wait(ctx context.Context, account string, d time.Duration) (slot.Slot, outcome.Outcome) {
 	if q.Precedes != nil {
 		return q.Precedes.wait(ctx, &q.Precedes.deferred, account, d)
@@ -60,7 +60,7 @@
 }
 
 // Enqueue is a non-blocking Wait for simulations: decided returns the decision
-// once there is one, and leave removes the request from the queue.
+// once it has been made, and leave removes the request from the queue.
 func (q *Queue) Enqueue(ctx context.Context, account string, d time.Duration) (decided func() (slot.Slot, outcome.Outcome, bool), leave func()) {
 	w := q.enter(ctx, &q.urgent, account, d)
 	decided = func() (slot.Slot, outcome.Outcome, bool) {
@@ -114,8 +114,8 @@
 	}
 }
 
-// Waiting returns the number of waiting requests, with Precedes set those of both
-// queues.
+// Waiting returns the number of waiting requests. With Precedes set, it includes
+// the requests of both queues.
 func (q *Queue) Waiting() int {
 	if q.Precedes != nil {
 		return q.Precedes.Waiting()
@@ -214,8 +214,8 @@
 		a := c.first()
 		w := a.first(q.newestFirst(a, n))
 		if w.ctx.Err() != nil {
-			// The caller left, but its goroutine has not run yet. A slot would
-			// be wasted on it.
+			// The caller has disconnected, but the goroutine of its request has
+			// not run yet. A slot granted to the request would be wasted.
 			c.remove(w)
 			w.decision <- decision{outcome: outcome.Outcome{Outcome: outcome.Left, Ran: outcome.RanNo, Message: "the caller left"}}
 			continue
@@ -290,8 +290,8 @@
 }
 
 // refuseLateTail refuses requests at the end of an account's queue that cannot
-// be served before their deadlines at the present rate. An early refusal lets
-// their callers still try another entry host.
+// be served before their deadlines at the present rate. After an early refusal,
+// their callers have time to try another entry host.
 func (q *Queue) refuseLateTail(c *class, a *accountQueue, now time.Time) {
 	for a.waiting > 0 {
 		w := a.last(q.newestFirst(a, now))
@@ -324,10 +324,10 @@
 	w.decision <- decision{outcome: o}
 }
 
-// newestFirst reports whether the account's newest request is served first.
-// This lasts until its oldest request has waited less than half of NewestFirstAfter:
-// older requests get refused, so with a single threshold the order would switch
-// back at once, and every request would wait as long as NewestFirstAfter.
+// newestFirst reports whether the account's newest request is served first. This
+// lasts until its oldest request has waited less than half of NewestFirstAfter:
+// older requests are refused, so with a single threshold the order would switch back
+// at once, and every request would wait as long as NewestFirstAfter.
 func (q *Queue) newestFirst(a *accountQueue, now time.Time) bool {
 	if q.NewestFirstAfter == 0 || a.waiting == 0 {
 		return false
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -19,9 +19,9 @@
 	// noLenderBackoff is how long borrowing pauses after no other host had
 	// tokens.
 	noLenderBackoff = 100 * time.Millisecond
-	// maxReserveFraction limits what a lender keeps for itself, as a fraction of
-	// its bucket. Below that, it keeps the tokens for its own demand over
-	// reserveSeconds.
+	// maxReserveFraction limits the tokens that a lender reserves for its own
+	// demand, as a fraction of its bucket. Up to this limit, it reserves the
+	// tokens that it needs for reserveSeconds.
 	maxReserveFraction = 0.25
 	reserveSeconds     = 0.2
 	// loanMarginDivisor sets the margin for clocks of different speed that the
@@ -32,8 +32,8 @@
 // Lend gives tokens to another host and returns how many and for how long. They
 // are deducted before the response is sent, and their place in the bucket stays
 // unavailable until the loan has ended. Otherwise lent and refilled tokens
-// together would exceed the burst. A loan ends before the part that it comes
-// from can end.
+// together would exceed the burst. A loan ends before the lender's grant can
+// end.
 func (q *Quota) Lend(name string, units uint64, d time.Duration) (uint64, time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -55,7 +55,8 @@
 	return u, d
 }
 
-// remainingTime returns for how long all of a grant is certain to remain valid.
+// remainingTime returns for how long the floor and the leased part of a grant
+// both remain valid. It subtracts a margin for clocks of different speed.
 func remainingTime(g grant.Grant, now time.Time) time.Duration {
 	d := unaffordableWait
 	if g.Floor > 0 && now.Before(g.FloorUntil) {
@@ -127,8 +128,9 @@
 	return r
 }
 
-// demandSmoothing is the weight of the newest interval against those before. It
-// is low, so that a single burst does not move parts between hosts.
+// demandSmoothing is the weight of the newest interval relative to earlier
+// intervals. It is low, so that a single burst does not move parts between
+// hosts.
 const demandSmoothing = 0.2
 
 // minReportedDemand is the demand, in requests per second, above which an
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -156,7 +156,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if e, ok := q.refreshedEntry(name, q.Clock.Now()); ok {
-		e.bucket.Return()
+		e.bucket.Refund()
 	}
 }
 
--- a/quotaexperiment/trial.go
+++ b/quotaexperiment/trial.go
@@ -55,7 +55,7 @@
 		Config: p.config, Table: new(memorytable.Memorytable), Random: random(seed, 2), Delay: p.delay, Store: p.store,
 	}
 	p.baseline = &baseline{trial: p}
-	p.simulation.Fixed = w.grants(p.baseline)
+	p.simulation.FixedGrant = w.grants(p.baseline)
 	for r, n := range d.perRegion {
 		for i := range n {
 			p.add(fmt.Sprintf("%s-%d", d.regions[r], i), r, i%2)
--- a/regionavailability/regionavailability_test.go
+++ b/regionavailability/regionavailability_test.go
@@ -32,7 +32,7 @@
 	{"half restricted to an unknown region", []string{"jos"}, 1},
 }
 
-func TestLeft(t *testing.T) {
+func TestAvailable(t *testing.T) {
 	for _, m := range mixes {
 		t.Run(m.name, func(t *testing.T) {
 			b := newAvailability()
@@ -54,8 +54,9 @@
 }
 
 // The list of backend servers changes every few seconds. An update must keep the
-// counts, because starting from zero each time would move objects back and forth.
-func TestFitKeepsCounts(t *testing.T) {
+// counts. If they restarted from zero, objects would move back and forth between
+// regions.
+func TestSetSlotsKeepsCounts(t *testing.T) {
 	b := newAvailability()
 	countEvenly(b, time.Unix(0, 0), time.Minute, []string{"lagos"})
 	l := b.Available("lagos")
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -36,9 +36,9 @@
 	Peers func() []member.Member
 	// Replicas are the contents to distribute.
 	Replicas []*replica.Replica
-	// Object returns a part of a content by its hash, nil if this host does not
-	// have it. Object itself is nil if no content has parts.
-	Object func(kind, hash string) []byte
+	// PartByHash returns a part of a content by its hash, nil if this host does
+	// not have it. PartByHash itself is nil if no content has parts.
+	PartByHash func(kind, hash string) []byte
 	// Fetch requests newer content from a peer.
 	Fetch func(ctx context.Context, address string, f *wire.FetchRequest) (*wire.FetchResponse, error)
 	// Notify sends this host's versions to a peer and returns the peer's.
@@ -97,8 +97,8 @@
 			return p.Answer(f)
 		}
 	}
-	if r.Object != nil && f.Hash != "" {
-		return &wire.FetchResponse{Hash: f.Hash, Content: r.Object(f.Kind, f.Hash)}
+	if r.PartByHash != nil && f.Hash != "" {
+		return &wire.FetchResponse{Hash: f.Hash, Content: r.PartByHash(f.Kind, f.Hash)}
 	}
 	return &wire.FetchResponse{}
 }
@@ -171,7 +171,7 @@
 // host can fetch from it.
 func (r *Relay) fetch(ctx context.Context, p *replica.Replica) {
 	for _, m := range r.peersAhead(p) {
-		if r.peerVersion(m.Name, p.Kind) <= p.Digest().Version {
+		if r.peerVersion(m.Name, p.Kind) <= p.CurrentVersion().Version {
 			continue
 		}
 		x, f := context.WithTimeout(ctx, r.Timeout)
@@ -195,7 +195,7 @@
 // then the nearest peer. Peers that are equal in both are ordered differently on
 // each host, so that not all hosts query the same peer.
 func (r *Relay) peersAhead(p *replica.Replica) []member.Member {
-	v := p.Digest().Version
+	v := p.CurrentVersion().Version
 	n := r.Clock.Now()
 	var a []member.Member
 	for _, m := range r.Peers() {
@@ -284,7 +284,7 @@
 
 func (r *Relay) isBehind(name string) bool {
 	for _, p := range r.Replicas {
-		if v := p.Digest().Version; v > 0 && r.peerVersion(name, p.Kind) < v {
+		if v := p.CurrentVersion().Version; v > 0 && r.peerVersion(name, p.Kind) < v {
 			return true
 		}
 	}
@@ -304,7 +304,7 @@
 func (r *Relay) ownVersions() []*wire.Version {
 	var v []*wire.Version
 	for _, p := range r.Replicas {
-		if d := p.Digest(); d.Version > 0 {
+		if d := p.CurrentVersion(); d.Version > 0 {
 			v = append(v, d)
 		}
 	}
--- a/relaybenchmark/relaybenchmark.go
+++ b/relaybenchmark/relaybenchmark.go
@@ -116,7 +116,7 @@
 func (t *Relaybenchmark) nodesWith(version uint64, has bool) []*node {
 	var r []*node
 	for _, x := range t.nodes {
-		if (x.replica.Digest().Version >= version) == has {
+		if (x.replica.CurrentVersion().Version >= version) == has {
 			r = append(r, x)
 		}
 	}
--- a/replica/fetch.go
+++ b/replica/fetch.go
@@ -51,7 +51,7 @@
 // another peer. If applying the deltas does not yield the hash, the full content is
 // requested once, since this host's own content may be the one that differs.
 func (r *Replica) Fetch(ctx context.Context, ask func(ctx context.Context, f *wire.FetchRequest) (*wire.FetchResponse, error)) error {
-	v := r.Digest()
+	v := r.CurrentVersion()
 	f := &wire.FetchRequest{Kind: r.Kind, Have: v.Version, HaveHash: v.Hash}
 	var b []byte
 	for {
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -38,8 +38,8 @@
 	Key string
 	// Log receives one line for each applied version and each error.
 	Log *log.Logger
-	// Platform is read by Run.
-	Platform store.Store
+	// Store is polled by Run.
+	Store store.Store
 	// Clock paces the reads of the platform.
 	Clock clockwork.Clock
 	// PollInterval returns the time until the next read.
@@ -63,9 +63,9 @@
 	divergences  uint64
 }
 
-// Digest returns the version and hash of the content in force. Version is zero
-// before the first content.
-func (r *Replica) Digest() *wire.Version {
+// CurrentVersion returns the version and hash of the content in force. Version
+// is zero before the first content.
+func (r *Replica) CurrentVersion() *wire.Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return &wire.Version{Kind: r.Kind, Version: r.version, Hash: r.hash}
@@ -127,7 +127,7 @@
 
 // Poll reads the accepted version from the platform and applies it if it is newer.
 func (r *Replica) Poll(ctx context.Context) error {
-	w, err := r.Platform.Read(ctx, r.Key)
+	w, err := r.Store.Read(ctx, r.Key)
 	if err != nil || w.Version == 0 {
 		return err
 	}
@@ -138,7 +138,7 @@
 	if !r.IsBehind(&wire.Version{Version: a.Version, Hash: a.Hash}, "platform") {
 		return nil
 	}
-	b, err := r.Platform.GetObject(ctx, acceptedversion.ObjectName(r.Key, a.Hash))
+	b, err := r.Store.GetObject(ctx, acceptedversion.ObjectName(r.Key, a.Hash))
 	if err != nil {
 		return errors.Wrap(err, r.Kind)
 	}
--- a/sendgate/sendgate_test.go
+++ b/sendgate/sendgate_test.go
@@ -9,9 +9,10 @@
 	"celeryreach.example/celeryreach/sendgate"
 )
 
-// A caller disconnects at the moment its request is sent. In any order of
-// sending, refusing and proof that the request did not run, a refused request
-// is never sent, and a sent request is never reported as refused.
+// A caller disconnects at the moment its request is sent. Send, Refuse and
+// Unsend (the request is proven not to have run) are called in random order. A
+// refused request must never be sent, and a sent request must never be reported
+// as refused.
 func TestSentAndRefusedAreExclusive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var g sendgate.Sendgate
--- a/separation/cluster_test.go
+++ b/separation/cluster_test.go
@@ -85,10 +85,10 @@
 		freshness: &freshness.Freshness{Clock: w.clock}, lastReceived: make(map[string]time.Time),
 	}
 	l := log.New(io.Discard)
-	n.configFollower = &configfollower.Configfollower{Clock: w.clock, Log: l, Platform: w.platform(name)}
-	n.plans = &planfollower.Planfollower{Clock: w.clock, Log: l, Platform: w.platform(name)}
+	n.configFollower = &configfollower.Configfollower{Clock: w.clock, Log: l, Store: w.platform(name)}
+	n.plans = &planfollower.Planfollower{Clock: w.clock, Log: l, Store: w.platform(name)}
 	n.lease = &lease.Lease{
-		Clock: singleWaitClock{FakeClock: w.clock, host: n}, Platform: w.platform(name), Name: "lease/planner",
+		Clock: singleWaitClock{FakeClock: w.clock, host: n}, Store: w.platform(name), Name: "lease/planner",
 		Holder: fmt.Sprint(name, len(w.objects)), Term: 15 * time.Second,
 	}
 	n.relay = &relay.Relay{
@@ -134,8 +134,9 @@
 	}
 }
 
-// call performs a call from a to b, which runs f. It fails without running f if the
-// link from a to b is blocked, and after running f if the link back is.
+// call performs a call from a to b, which runs f. If the link from a to b is
+// blocked, it fails without running f. If the link from b to a is blocked, it runs
+// f and then fails.
 func (w *cluster) call(a, b string, f func()) error {
 	if w.blocked[[2]string{a, b}] {
 		return errUnreachable
@@ -221,7 +222,7 @@
 	m := n.self
 	return &wire.Heartbeat{
 		From:     &wire.Host{Name: m.Name, Domain: m.Domain, Region: m.Region, PeerAddress: m.PeerAddress},
-		Versions: []*wire.Version{n.configFollower.Replica().Digest(), n.plans.Replica().Digest()}, KeyAgeNanoseconds: n.freshness.OwnAge(),
+		Versions: []*wire.Version{n.configFollower.Replica().CurrentVersion(), n.plans.Replica().CurrentVersion()}, KeyAgeNanoseconds: n.freshness.OwnAge(),
 	}
 }
 
@@ -276,7 +277,7 @@
 // version from.
 func (n *testHost) commit(from uint64, edit func(c *config.Config)) (acceptedversion.Acceptedversion, bool, error) {
 	k := &configcommit.Configcommit{
-		Platform: n.cluster.platform(n.self.Name), Clock: instantClock{n.cluster.clock},
+		Store: n.cluster.platform(n.self.Name), Clock: instantClock{n.cluster.clock},
 		OnAccepted: func(a acceptedversion.Acceptedversion, b []byte) { _ = n.configFollower.Offer(a.Version, a.Hash, b) },
 	}
 	var c config.Config
@@ -288,7 +289,7 @@
 }
 
 func (n *testHost) version() uint64 {
-	return n.configFollower.Replica().Digest().Version
+	return n.configFollower.Replica().CurrentVersion().Version
 }
 
 // stepLease makes the lease renew or acquire its row once.
@@ -308,7 +309,7 @@
 	if err != nil {
 		return acceptedversion.Acceptedversion{}, false, err
 	}
-	p := &publish.Publish{Clock: instantClock{n.cluster.clock}, Platform: n.cluster.platform(n.self.Name), Key: acceptedversion.PlanKey, Fence: n.lease.Fence}
+	p := &publish.Publish{Clock: instantClock{n.cluster.clock}, Store: n.cluster.platform(n.self.Name), Key: acceptedversion.PlanKey, Fence: n.lease.Fence}
 	a, ok, err := p.Commit(context.Background(), v, b)
 	if ok {
 		err = n.plans.Replica().Offer(a.Version, a.Hash, b)
--- a/separation/fleet_test.go
+++ b/separation/fleet_test.go
@@ -136,7 +136,7 @@
 	ctx, f := startFleet(t)
 	p := &platformclient.Platformclient{URL: f.PlatformURL, Timeout: time.Second}
 	defer p.Close()
-	u := &blockpublish.Blockpublish{Clock: clockwork.NewRealClock(), Platform: p.Store()}
+	u := &blockpublish.Blockpublish{Clock: clockwork.NewRealClock(), Store: p.Store()}
 	n := netip.MustParsePrefix("10.0.0.0/8")
 	for _, r := range []string{"abuja", "lagos"} {
 		_, err := u.Change(ctx, []block.Block{{Prefix: n, Region: r}}, nil)
--- a/separation/scenario_test.go
+++ b/separation/scenario_test.go
@@ -164,7 +164,7 @@
 	default:
 		c := *h.configFollower.Snapshot().Config
 		editConfig(s, &c, e)
-		x := (&configcommit.Configcommit{Platform: h.cluster.platform(h.self.Name)}).Explain(context.Background(), from, c, a)
+		x := (&configcommit.Configcommit{Store: h.cluster.platform(h.self.Name)}).Explain(context.Background(), from, c, a)
 		s.print("%s: conflict, %d is accepted", h.self.Name, x.Accepted)
 		for _, d := range x.Theirs {
 			s.print("  theirs %s: %s -> %s", d.Path, d.Old, d.New)
--- a/separation/version_test.go
+++ b/separation/version_test.go
@@ -151,7 +151,7 @@
 func (c *checker) check(w *cluster) error {
 	for _, k := range w.hostNames() {
 		h := w.hosts[k]
-		d := h.configFollower.Replica().Digest()
+		d := h.configFollower.Replica().CurrentVersion()
 		if d.Version < c.versions[h] {
 			return errors.Errorf("version of %s decreased from %d to %d", k, c.versions[h], d.Version)
 		}
--- a/simulation/node.go
+++ b/simulation/node.go
@@ -75,7 +75,7 @@
 	}
 	n.demand = &demand.Demand{Clock: c, Hold: f.Hold, Account: n.account}
 	n.divisionWriter = &divisionwriter.Divisionwriter{
-		Clock: c, Log: f.logger, Platform: f.storeFor(number), Entitlement: n.entitlement, Alive: n.alive,
+		Clock: c, Log: f.logger, Store: f.storeFor(number), Entitlement: n.entitlement, Alive: n.alive,
 		Config: func() *config.Config { return f.Config }, Demand: n.demand.Fractions, IsListed: f.listed, ReadInterval: f.Poll, MinEpochInterval: f.MinEpochInterval,
 	}
 	return n
@@ -102,8 +102,8 @@
 }
 
 func (n *node) grant(name string) grant.Grant {
-	if n.simulation.Fixed != nil {
-		return n.simulation.Fixed(n.number, name)
+	if n.simulation.FixedGrant != nil {
+		return n.simulation.FixedGrant(n.number, name)
 	}
 	g := n.entitlement.Rate(name)
 	if n.simulation.Grant != nil {
@@ -179,8 +179,8 @@
 	n.contacts[m.from.self.Name] = contact{holder: m.from.self, number: m.from.number, receivedAt: n.clock.Now(), alive: m.alive, leaving: m.leaving}
 	n.demand.Record(m.from.self.Name, m.demand)
 	e := m.epoch
-	if n.simulation.Report != nil {
-		e = n.simulation.Report(e, n.entitlement.Epoch())
+	if n.simulation.ReportEpoch != nil {
+		e = n.simulation.ReportEpoch(e, n.entitlement.Epoch())
 	}
 	n.entitlement.RecordPeerEpoch(m.from.self.Name, m.from.self.Incarnation, e, sent)
 	n.fetchDivision()
@@ -221,8 +221,8 @@
 	})
 }
 
-// directlyAlive returns this process and those that sent it a heartbeat within
-// Hold, without processes that shut down.
+// directlyAlive returns this process and the processes that sent it a heartbeat
+// within Hold, without processes that shut down.
 func (n *node) directlyAlive() []holder.Holder {
 	var r []holder.Holder
 	if !n.leaving {
@@ -237,8 +237,8 @@
 	return r
 }
 
-// alive returns the processes of directlyAlive and those that they reported as
-// alive.
+// alive returns the processes of directlyAlive and the processes that they
+// reported as alive.
 func (n *node) alive() []holder.Holder {
 	m := map[string]holder.Holder{}
 	for _, c := range n.contacts {
@@ -304,8 +304,8 @@
 	f.schedule(d, func() {
 		p.execute(func() {
 			u, x := p.quota.Lend(name, units, loanDuration)
-			if f.Lent != nil {
-				f.Lent(p.quota, name, u)
+			if f.OnLent != nil {
+				f.OnLent(p.quota, name, u)
 			}
 			if e, ok := f.Delay(p.number, n.number); ok {
 				f.schedule(e, func() { n.execute(func() { v(u, x) }) })
--- a/simulation/simulation.go
+++ b/simulation/simulation.go
@@ -52,22 +52,22 @@
 	Random *rand.Rand
 	// Delay returns the delay of a message and whether it arrives.
 	Delay func(from, to int) (time.Duration, bool)
-	// Store reports whether a call of a host reaches the table at the moment,
-	// and whether the response arrives.
+	// Store reports whether a call of a host reaches the table at the current
+	// simulated time, and whether the response reaches the host.
 	Store func(host int) (reached, answered bool)
-	// Grant, Report and Lent are hooks with which tests break the rule of package
-	// entitlement on purpose. Grant changes the grant that a quota receives, Report
-	// changes the epoch that a peer reports, and Lent runs on the lender after each
-	// loan. Nil hooks change nothing.
-	Grant  func(g grant.Grant) grant.Grant
-	Report func(reported, own uint64) uint64
-	Lent   func(q *quota.Quota, name string, units uint64)
+	// Grant, ReportEpoch and OnLent are hooks with which tests break the rule of
+	// package entitlement on purpose. Grant changes the grant that a quota
+	// receives, ReportEpoch changes the epoch that a peer reports, and OnLent runs
+	// on the lender after each loan. Nil hooks change nothing.
+	Grant       func(g grant.Grant) grant.Grant
+	ReportEpoch func(reported, own uint64) uint64
+	OnLent      func(q *quota.Quota, name string, units uint64)
 	// LateReads adds reads of the table whose responses are delayed.
 	LateReads bool
-	// Fixed returns grants that replace those of the divisions; hosts then
-	// exchange no heartbeats. It is used for the methods that the divisions are
-	// compared with.
-	Fixed func(host int, account string) grant.Grant
+	// FixedGrant, if set, returns grants that replace the grants of the
+	// divisions; hosts then exchange no heartbeats. It is used to simulate the
+	// methods with which the experiment compares divisions.
+	FixedGrant func(host int, account string) grant.Grant
 	// Messages counts heartbeats and loan requests, without the responses.
 	Messages int
 
@@ -85,8 +85,8 @@
 }
 
 // Add starts a process and returns its number. Speed is the speed of its clock
-// relative to exact time. A process under a name that is in use does not
-// replace the one before; call Kill for that.
+// relative to exact time. If the name is in use, the earlier process continues
+// to run until Kill is called for it.
 func (f *Simulation) Add(name, domain, region string, speed float64) int {
 	if f.now.IsZero() {
 		f.now = time.Unix(1_000_000, 0)
@@ -94,7 +94,7 @@
 	}
 	n := newNode(f, len(f.nodes), name, domain, region, speed)
 	f.nodes = append(f.nodes, n)
-	if f.Fixed != nil {
+	if f.FixedGrant != nil {
 		return n.number
 	}
 	f.schedule(time.Duration(f.Random.Int64N(int64(f.Heartbeat))), n.sendHeartbeats)
@@ -114,7 +114,7 @@
 	return f.accountsByName
 }
 
-// Leave makes a process announce to the others that it shuts down.
+// Leave makes a process announce to the other processes that it shuts down.
 func (f *Simulation) Leave(host int) {
 	f.nodes[host].leaving = true
 }
@@ -180,7 +180,7 @@
 	heap.Push(&f.events, event{at: f.now.Add(d), sequence: f.sequence, run: g})
 }
 
-// storeFor returns the table as one host reaches it.
+// storeFor returns the table for one host; its calls fail as Store determines.
 func (f *Simulation) storeFor(host int) store.Store {
 	return store.Store{
 		Read: func(_ context.Context, key string) (row.Row, error) {
--- a/simulation/simulation_test.go
+++ b/simulation/simulation_test.go
@@ -249,13 +249,14 @@
 	})
 }
 
-// The same checks must detect each fault that the rule prevents: a loan that is
-// not deducted from the lender's bucket, a part that is used after it lapsed,
-// and an increase that is used before the other hosts stopped using it.
+// The checks of the other tests must detect each violation of the rule: a loan
+// that is not deducted from the lender's bucket, a part that is used after it
+// lapsed, and a larger part that is used before the former holders stopped
+// using it.
 func TestJudgeFindsBrokenRules(t *testing.T) {
 	broken := map[string]func(m *model){
 		"loan not deducted": func(m *model) {
-			m.Lent = func(q *quota.Quota, name string, units uint64) {
+			m.OnLent = func(q *quota.Quota, name string, units uint64) {
 				for range units {
 					q.Refund(name)
 				}
@@ -270,7 +271,7 @@
 			}
 		},
 		"grant before release": func(m *model) {
-			m.Report = func(_, own uint64) uint64 { return own }
+			m.ReportEpoch = func(_, own uint64) uint64 { return own }
 		},
 	}
 	for n, b := range broken {
--- a/tokens/entry.go
+++ b/tokens/entry.go
@@ -16,35 +16,37 @@
 	// borrows tokens from others.
 	borrowThreshold = 0.4
 	// lendThreshold is the fill level, as a fraction of the burst, above which a host
-	// lends tokens that no request of the borrower waits for.
+	// also lends tokens that the borrower requests in advance, without a request
+	// waiting for them.
 	lendThreshold = 0.5
 	// minBorrowInterval is the minimum time between two attempts to borrow tokens of
 	// one account, except for an immediate repetition while requests still wait.
 	minBorrowInterval = 60 * time.Millisecond
-	// shortfallTTL is how long a shortfall of another host is kept. While it lacks
-	// tokens, that host repeats its request after at most minBorrowInterval.
+	// shortfallTTL is how long a shortfall of another host is kept. While that
+	// host lacks tokens, it repeats its request after at most minBorrowInterval.
 	shortfallTTL = time.Second
-	// minDeferredCapacity is the minimum bucket capacity of a host, in tokens, for
-	// spare tokens to be lent to it after its request.
+	// minDeferredCapacity is the minimum capacity, in tokens, of the holders'
+	// buckets for lending a holder spare tokens later, after its request could
+	// not be met. Smaller buckets would overflow.
 	minDeferredCapacity = 2
 	// minHolders is the number of hosts that hold a share if the burst allows. It
 	// covers all hosts of a small deployment, so that each failure domain can continue
 	// alone.
 	minHolders = 8
 	// minBurstShare is the smallest share of the burst, in tokens, that more than
-	// minHolders hosts hold. With smaller shares the tokens are at hosts without
-	// demand. With 80 hosts and an account at 0.6 of its rate
+	// minHolders hosts hold. With smaller shares, too many tokens are in the buckets
+	// of hosts without demand. With 80 hosts and an account at 0.6 of its rate
 	// (TestManyHostsInsideTheRate, seed 1), 0.16 of the requests are refused with 20
 	// holders of 1 token, and 0.06 with 8 holders of 2.5 tokens.
 	minBurstShare = 4.0
 	// maxShortfalls is the maximum number of shortfalls kept per account.
 	maxShortfalls = 8
-	// defaultRetryAfter is the retry delay for callers of a host whose bucket makes no
-	// tokens: other hosts may have lent some by then.
+	// defaultRetryAfter is the retry delay for callers of a host whose bucket gains no
+	// tokens by itself. Other hosts may have lent it tokens by then.
 	defaultRetryAfter = 250 * time.Millisecond
-	// maxRetryAfter is the maximum retry delay. Far above its rate, an account's
-	// computed delay grows without bound, and the state several seconds ahead is
-	// unknown.
+	// maxRetryAfter is the maximum retry delay. The computed delay of an account
+	// grows without bound while it sends far more than its rate, and the fill
+	// level several seconds ahead cannot be predicted.
 	maxRetryAfter = 5 * time.Second
 )
 
@@ -56,16 +58,16 @@
 	// lastBorrow is when the last attempt to borrow began.
 	lastBorrow time.Time
 	borrowing  bool        // an attempt to borrow is in progress
-	received   bool        // the attempt brought tokens
+	received   bool        // the attempt has received tokens
 	waiting    []chan bool // requests that wait for a token, oldest first
-	shortfalls []shortfall // requests of other hosts that were not met, latest last
+	shortfalls []shortfall // requests of other hosts for tokens that were not met, latest last
 	// promisedUntil is the time until which the tokens that the bucket makes are
 	// promised to refused callers.
 	promisedUntil time.Time
 }
 
-// shortfall is a number of tokens that another host requested and did not get. It
-// expires at until.
+// shortfall is a number of tokens that another host requested and did not
+// receive. It expires at until.
 type shortfall struct {
 	host  string
 	units int64
@@ -100,7 +102,7 @@
 	return l[:k]
 }
 
-// refill adds the tokens made since the last refill. Waiting requests get tokens first.
+// refill adds the tokens made since the last refill. Waiting requests are served first.
 func (e *entry) refill(now time.Time) {
 	e.bucket.Refill(now)
 	e.serveWaiting()
@@ -112,15 +114,16 @@
 	return len(e.waiting) == 0 && e.bucket.Take(now)
 }
 
-// startWaiting appends a request to the waiting requests. The channel receives whether
-// it got a token.
+// startWaiting appends a request to the waiting requests. The channel receives true if
+// the request was given a token, else false.
 func (e *entry) startWaiting() chan bool {
 	w := make(chan bool, 1)
 	e.waiting = append(e.waiting, w)
 	return w
 }
 
-// stopWaiting ends the wait of a request and reports whether it got a token.
+// stopWaiting ends the wait of a request and reports whether it was given a
+// token.
 func (e *entry) stopWaiting(w chan bool) bool {
 	for i, v := range e.waiting {
 		if v == w {
@@ -152,12 +155,12 @@
 	w <- ok
 }
 
-// promiseToken returns the time after which a refused caller finds a token. This is the
-// next token that the bucket makes and that is not promised to another refused caller.
-// With the same delay, all callers would return at once, one would be served and the
-// others refused again.
+// promiseToken returns the time after which a refused caller finds a token: the next
+// one that the bucket gains and that is not promised to another refused caller. If all
+// refused callers had the same delay, they would retry at the same time, and all but
+// one would be refused again.
 func (e *entry) promiseToken(now time.Time) time.Duration {
-	d, i, ok := e.bucket.Until()
+	d, i, ok := e.bucket.UntilNextToken()
 	if !ok {
 		return defaultRetryAfter
 	}
@@ -169,8 +172,8 @@
 	return t.Sub(now)
 }
 
-// receive adds n borrowed tokens. Waiting requests get them first, even if the bucket
-// is full or this host holds no share of the limits.
+// receive adds n borrowed tokens. Waiting requests are served first, even if the
+// bucket is full or this host holds no share of the limits.
 func (e *entry) receive(n int64) {
 	e.received = e.received || n > 0
 	for ; n > 0 && len(e.waiting) > 0; n-- {
@@ -180,7 +183,7 @@
 }
 
 // deficit returns how many tokens this host should borrow, zero if it has enough, and
-// how many of them requests wait for.
+// for how many of these tokens a request already waits.
 func (e *entry) deficit() (n, urgent int64) {
 	c := e.bucket.Capacity()
 	w := int64(len(e.waiting))
@@ -191,8 +194,8 @@
 }
 
 // lend takes up to n tokens out of the bucket for another host, unless requests wait at
-// this host. Requests that wait at the other host may get all tokens; the remainder is
-// taken only from tokens above lendThreshold.
+// this host. All tokens of the bucket may be lent for requests that wait at the other
+// host; the remainder is taken only from tokens above lendThreshold.
 func (e *entry) lend(n, urgent int64) int64 {
 	h := e.bucket.Tokens()
 	n = min(n, max(int64(h-lendThreshold*e.bucket.Capacity()), min(urgent, int64(h))))
@@ -202,9 +205,10 @@
 	return n
 }
 
-// addShortfall records that a host did not get n of the tokens that it requested.
-// Tokens that arrive later go into its bucket, since its request has been refused by
-// then. A bucket that holds only one token would overflow and lose them.
+// addShortfall records that a host requested n more tokens than it received. The
+// caller's request that needed a token has been refused by the time a later loan
+// arrives, so that loan is added to the host's bucket. A bucket with a capacity of
+// one token would overflow and lose it.
 func (e *entry) addShortfall(host string, n int64, now time.Time) {
 	if e.bucket.Capacity() < minDeferredCapacity || !slices.Contains(e.holders, host) {
 		return
--- a/tokens/load_test.go
+++ b/tokens/load_test.go
@@ -97,7 +97,7 @@
 			})
 			return true
 		}
-		h.Lend = func(to, account string, n int64) {
+		h.SendLoan = func(to, account string, n int64) {
 			m.deferCall(func() {
 				m.hosts[index(to)].Receive(account, n)
 			})
--- a/tokens/loan_test.go
+++ b/tokens/loan_test.go
@@ -113,7 +113,7 @@
 	must.EqOp(t, 0, m.hosts[1].LendTo(name(0), unity, 5, 0))
 	var host string
 	var units int64
-	m.hosts[1].Lend = func(h, _ string, n int64) { host, units = h, n }
+	m.hosts[1].SendLoan = func(h, _ string, n int64) { host, units = h, n }
 	for range 9 {
 		m.clock.Advance(300 * time.Millisecond)
 		m.hosts[1].Refill()
--- a/tokens/tokens.go
+++ b/tokens/tokens.go
@@ -21,25 +21,26 @@
 // Tokens holds this host's token bucket of each client account. The hosts that hold an
 // account's limits (all hosts of a small deployment) have equal shares of rate and
 // burst. A host that receives many of the account's requests borrows tokens from
-// others. A token leaves one bucket before it enters another, so no token is used
-// twice, and one that is lost in transit is only lost. This needs no synchronized
-// clocks, leases or store: partitioned, paused and restarted hosts keep the total below
-// the limit.
+// others. A token is taken out of one bucket before it is added to another, so no token
+// is used twice, even if a message is lost. This needs no synchronized clocks, leases
+// or store: the total stays below the limit even with partitioned, paused and restarted
+// hosts.
 type Tokens struct {
 	// Clock is the time source of the buckets.
 	Clock clockwork.Clock
 	// Self is the name of this host.
 	Self string
 	// Hosts returns the names of the hosts between which the limits are divided,
-	// including this one. It returns none while they are unknown and nothing may be
-	// admitted.
+	// including this one. It returns none while the hosts are unknown; no request
+	// may be admitted then.
 	Hosts func() []string
-	// StartBorrowing starts to borrow n tokens from hosts among holders; requests wait
-	// for urgent of them. It passes borrowed tokens to Receive and calls BorrowingDone
-	// at the end. It must not block, and returns false if it does nothing.
+	// StartBorrowing starts to borrow n tokens from hosts among holders. Requests
+	// already wait for the number urgent of these tokens. StartBorrowing passes
+	// borrowed tokens to Receive and calls BorrowingDone at the end. It must not
+	// block, and returns false if it starts nothing.
 	StartBorrowing func(account string, n, urgent int64, holders []string) bool
-	// Lend sends tokens to another host. It must not block.
-	Lend func(host, account string, n int64)
+	// SendLoan sends tokens to another host. It must not block.
+	SendLoan func(host, account string, n int64)
 
 	mu       sync.Mutex
 	hosts    []string
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// Refill updates all buckets and lends spare tokens to hosts whose requests were not
-// met.
+// Refill updates all buckets and lends spare tokens to hosts that requested more
+// tokens than they received.
 func (t *Tokens) Refill() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,13 +152,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.accounts[name]; e != nil {
-		e.bucket.Return()
+		e.bucket.Refund()
 		e.serveWaiting()
 	}
 }
 
-// LendTo takes up to n tokens out of the bucket for another host, where requests wait
-// for urgent of them. The host may get the remainder later.
+// LendTo takes up to n tokens out of the bucket for another host. Requests at that
+// host already wait for the number urgent of these tokens. The host may receive the
+// remainder later.
 func (t *Tokens) LendTo(host, name string, n, urgent int64) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -174,7 +176,7 @@
 	return g
 }
 
-// Receive adds tokens lent by another host. Waiting requests get them first.
+// Receive adds tokens lent by another host. Waiting requests are served first.
 func (t *Tokens) Receive(name string, n int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -200,11 +202,12 @@
 	e.refuseWaiting()
 }
 
-// lendSpare lends spare tokens to hosts whose requests were not met.
+// lendSpare lends spare tokens to hosts that requested more tokens than they
+// received.
 func (t *Tokens) lendSpare(e *entry, now time.Time) {
 	for _, w := range e.openShortfalls(now) {
-		if n := e.lend(w.units, 0); n > 0 && t.Lend != nil {
-			t.Lend(w.host, e.account.Name, n)
+		if n := e.lend(w.units, 0); n > 0 && t.SendLoan != nil {
+			t.SendLoan(w.host, e.account.Name, n)
 			e.removeShortfall(w.host)
 		}
 	}
