--- a/acceptedversion/acceptedversion.go
+++ b/acceptedversion/acceptedversion.go
@@ -24,12 +24,12 @@
 type Acceptedversion struct {
 	// Version is the accepted version.
 	Version uint64
-	// Hash is the SHA-256 of the content, which is stored as the object
-	// ObjectName.
+	// Hash is the SHA-256 of the content, which is stored as an object under the name
+	// that ObjectName returns.
 	Hash string
-	// Recent holds the hashes of the previous versions, newest first. With them
-	// the author of a change whose answer was lost finds the change even if
-	// other versions have followed.
+	// Recent holds the hashes of the previous versions, newest first. If the answer to
+	// a commit was lost, its author finds out from these hashes whether the commit took
+	// effect, even if other versions have followed.
 	Recent []string `json:",omitzero"`
 }
 
--- a/config/config.go
+++ b/config/config.go
@@ -43,9 +43,10 @@
 	Keys []credential.Credential
 	// Operators are the keys of operators.
 	Operators []credential.Credential
-	// Blocks are the client blocks that small deployments list here.
+	// Blocks are the client blocks that a small deployment lists here instead of in the
+	// block table.
 	Blocks []block.Block `json:",omitzero"`
-	// Links are the limits between regions.
+	// Links limit the bytes per second between regions.
 	Links []link.Link `json:",omitzero"`
 	// Objectives are the service-level objectives.
 	Objectives []objective.Objective `json:",omitzero"`
--- a/configcommit/configcommit.go
+++ b/configcommit/configcommit.go
@@ -44,8 +44,8 @@
 }
 
 // Explain lists both changes after a conflict: the differences that were
-// accepted since version from, and those that n would have made. The lists are
-// empty if the platform no longer returns the versions.
+// accepted since version from, and those that n would have made. A list is empty
+// if the platform no longer returns the versions that it compares.
 func (c *Configcommit) Explain(ctx context.Context, from uint64, n config.Config, a acceptedversion.Acceptedversion) conflict.Conflict {
 	r := conflict.Conflict{From: from, Accepted: a.Version}
 	o, err := c.load(ctx, from, a)
--- a/delta/delta.go
+++ b/delta/delta.go
@@ -36,9 +36,9 @@
 	return w.out
 }
 
-// writeMiddle writes the delta from a[from:to] to b, copying the records that both
-// contain. Most changes affect only a few records, and only the records in this
-// range are indexed.
+// writeMiddle writes the delta from a[from:to] to b, in which the records that
+// both contain are copied. Only the records in a[from:to] are indexed, which are
+// few because most changes affect only a few records.
 func (w *writer) writeMiddle(a, b []byte, from, to int) {
 	o := make(map[uint64]int)
 	for i := from; i < to; {
@@ -93,7 +93,8 @@
 	for n < min(len(a), len(b)) && a[len(a)-n-1] == b[len(b)-n-1] {
 		n++
 	}
-	// The first record of the equal bytes may begin before them.
+	// The equal bytes may begin in the middle of a record, so their first record
+	// is excluded.
 	return n - firstRecordLength(a[len(a)-n:])
 }
 
--- a/difference/written_test.go
+++ b/difference/written_test.go
@@ -21,16 +21,17 @@
 // number matches the start of a number or a duration.
 var number = regexp.MustCompile(`(: "?)(\d)`)
 
-// TestPaths holds the paths of the fields of a configuration: they are written
-// out, and scripts read them. Two configurations have the same entries, and all
-// fields differ that do not name an entry.
+// TestPaths guards against changes of the paths of configuration fields, which
+// are part of the output that scripts read. It compares two configurations that
+// have the same entries and differ in every field that does not identify an
+// entry.
 func TestPaths(t *testing.T) {
 	b, err := os.ReadFile(filepath.Join("..", "config", "testdata", "forms", "config.json"))
 	must.NoError(t, err)
 	l := strings.Split(string(b), "\n")
 	for i, s := range l {
 		if i > 0 && strings.TrimSpace(l[i-1]) == "{" || strings.Contains(s, `"To":`) {
-			continue // the first field names the entry, and so does To
+			continue // the first field identifies the entry, as does To
 		}
 		l[i] = number.ReplaceAllString(strings.NewReplacer("text ", "other ", "true", "false").Replace(s), "${1}7$2")
 	}
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -52,7 +52,7 @@
 type entry struct {
 	backend   backend.Backend
 	coldUntil time.Time
-	keptUntil time.Time // when a missing entry expires; zero while it is listed
+	keptUntil time.Time // when a missing entry expires; zero while the entry is listed
 }
 
 // Run drops expired entries until ctx ends.
@@ -106,8 +106,8 @@
 			continue
 		}
 		d.queueLog(log.InfoLevel, "failure domain is back", "Domain", v)
-		// Its backend servers were idle and may be cold although none has been able
-		// to report it yet.
+		// The backend servers of the failure domain were idle and may be cold, although
+		// none has been able to report this yet.
 		for _, k := range d.entries {
 			if k.backend.Domain == v {
 				k.coldUntil = deadline.Later(k.coldUntil, n.Add(d.WarmUp(k.backend.Service)+coldMargin))
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -30,13 +30,13 @@
 // TestDiscovery runs the scripts in testdata with the lists that a host reads from the
 // store or from another host's copy. They have these commands:
 //
-//	list NAME...        sets a list in which missing entries are gone
-//	doubt NAME...       sets a list from the two seconds after an outage of the store
+//	list NAME...        sets the list; entries missing from it are dropped at once
+//	doubt NAME...       as list, but within 2 s after a store outage; missing entries are kept
 //	cold NAME DURATION  sets a list with one entry, which is cold
 //	evacuate DOMAIN...  sets the evacuated failure domains
 //	after DURATION      advances the clock
 //	usable [NAME...]    checks which backend servers get new requests
-//	[!] iscold NAME     checks whether one of them is cold
+//	[!] iscold NAME     checks whether a backend server is cold
 func TestDiscovery(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
--- a/document/document.go
+++ b/document/document.go
@@ -45,8 +45,9 @@
 	return nil
 }
 
-// Locate adds lines to semantic mistakes, each given as a JSON pointer, a colon and
-// a text. A field that the document lacks gets the line of the enclosing value.
+// Locate adds line numbers to semantic mistakes, each given as a JSON pointer, a
+// colon and a text. A field that the document lacks gets the line of the
+// enclosing value.
 func (d *Document) Locate(texts []string) []mistake.Mistake {
 	r := make([]mistake.Mistake, 0, len(texts))
 	for _, t := range texts {
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -11,9 +11,10 @@
 	"celeryreach.example/celeryreach/staleness"
 )
 
-// Freshness records the last contact: with anything outside the failure domain, to bound
-// the use of keys that may have been withdrawn there, or with the store, to supervise
-// pending calls to it.
+// Freshness records the time of the last contact. One use records contacts with
+// anything outside the failure domain, to bound the use of keys that may have been
+// withdrawn there. Another use records contacts with the store, to supervise pending
+// calls to the store.
 type Freshness struct {
 	// Clock is the host's monotonic clock.
 	Clock clockwork.Clock
@@ -34,16 +35,17 @@
 
 // RecordRemoteAge records the age of another host's own last contact. The age was
 // measured when the message was sent, so the recorded contact is too recent by one
-// delivery time. A host must not pass on an age that it received: it would lose a
-// delivery time at each hop and never grow old when passed around in a circle.
+// delivery time. A host must not pass on an age that it received: at each hop the age
+// would become too low by another delivery time, and an age passed around in a circle
+// would never grow.
 func (f *Freshness) RecordRemoteAge(age int64) {
 	if age > 0 {
 		f.update(f.Clock.Now().Add(-time.Duration(age)))
 	}
 }
 
-// Age returns the time in nanoseconds since the last contact, plus one; zero if there was
-// none.
+// Age returns the time in nanoseconds since the last contact, plus one, or zero if
+// there was no contact.
 func (f *Freshness) Age() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/host/domain.go
+++ b/host/domain.go
@@ -129,8 +129,8 @@
 type remoteCallerKey struct{}
 
 // markRemoteCallers marks the requests of callers that are nearest to another
-// region. Look-ups directed these callers to this region, possibly all of them
-// at the same time.
+// region. Look-ups can direct all of these callers to this region at the same
+// time, so serveCaller applies the growth cap to their requests.
 func (x *components) markRemoteCallers(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if a, err := netip.ParseAddrPort(r.RemoteAddr); err == nil {
@@ -226,8 +226,9 @@
 }
 
 // forwardTargets returns the hosts of other failure domains that have free
-// slots. Hosts of the local region come first, because a link to another region
-// costs bandwidth and a hundred times the latency.
+// slots. Hosts of the local region come first, because forwarding to another
+// region uses the bandwidth of a link and has a hundred times the latency of
+// forwarding within the region.
 func (x *components) forwardTargets(service string) []member.Member {
 	r := x.shuffleByFreeSlots(service, func(m member.Member, free int) bool {
 		return m.Domain != x.host.Settings.Domain && !m.Leaving && free > 0
@@ -237,9 +238,9 @@
 	return r
 }
 
-// shuffleByFreeSlots returns the wanted peers in random order, weighted by
-// their reported free slots. Reports are seconds old, so if every host sorted
-// by them, all hosts would send their requests to the same peer.
+// shuffleByFreeSlots returns the wanted peers in random order, weighted by their
+// reported free slots. The reports are seconds old. If every host sorted the
+// peers by these reports, all hosts would send their requests to the same peer.
 func (x *components) shuffleByFreeSlots(service string, wanted func(m member.Member, free int) bool) []member.Member {
 	var r []member.Member
 	f := make(map[string]float64)
@@ -281,8 +282,8 @@
 }
 
 // slotDomains returns the failure domains whose slots this host may use: the
-// local one, and the failure domains of the region that have lost all their
-// hosts and whose slots were assigned to this host.
+// local one, and each other failure domain of the region whose slots were
+// assigned to this host because that domain has lost all its hosts.
 func (x *components) slotDomains() []string {
 	r := []string{x.host.Settings.Domain}
 	s := x.configFollower.Snapshot()
--- a/host/explainlookup.go
+++ b/host/explainlookup.go
@@ -45,8 +45,8 @@
 	return w
 }
 
-// rateShares returns the host's shares of the accounts' rates, without accounts
-// of which the host may use nothing.
+// rateShares returns the host's shares of the accounts' rates. It omits the
+// accounts whose rate the host has no share of.
 func (x *components) rateShares() []share.Share {
 	s := x.configFollower.Snapshot()
 	if s == nil {
--- a/host/host.go
+++ b/host/host.go
@@ -49,9 +49,9 @@
 	unfinished atomic.Int64
 }
 
-// Run serves until ctx ends, then waits for requests in flight to finish, for
-// at most DrainTimeout. It returns an error if requests were still in flight
-// after that.
+// Run serves until ctx ends, then waits for requests in flight to finish, for at
+// most DrainTimeout. It returns an error if requests are still in flight after
+// DrainTimeout.
 func (h *Host) Run(ctx context.Context) error {
 	if h.Dial == nil {
 		h.Dial = dial
--- a/host/limits.go
+++ b/host/limits.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	// leasedShareLifetime is how long leased shares of limits stay valid
-	// without a read of the division table.
+	// leasedShareLifetime is how long leased shares of limits stay valid after
+	// the host's last read of the division table.
 	leasedShareLifetime = time.Hour
 	// pollsPerHold is how many times per Hold period a host reads the division
 	// table.
@@ -198,9 +198,9 @@
 	return 0
 }
 
-// fetchDivisions fetches newer divisions from the peers that report them. A new
-// epoch thereby reaches every host within one heartbeat, even if the host
-// cannot read the table.
+// fetchDivisions fetches newer divisions from the peers whose heartbeats report
+// them. A new epoch thereby reaches every host within one heartbeat, including
+// hosts that cannot read the division table.
 func (x *components) fetchDivisions(ctx context.Context) error {
 	for {
 		select {
@@ -260,8 +260,8 @@
 	return nil
 }
 
-// tokenLenders returns the peer addresses of the hosts that may lend tokens of
-// an account.
+// tokenLenders returns the peer addresses of the hosts from which this host
+// requests loans of an account's tokens.
 func (x *components) tokenLenders(name string) []string {
 	var l []holder.Holder
 	a := make(map[string]string)
--- a/host/metrics.go
+++ b/host/metrics.go
@@ -15,8 +15,9 @@
 	gaugeWaiting = "RequestsWaiting"
 )
 
-// publishGauges publishes the current gauge values. Several hosts in one
-// process are distinguished by the prefix of their counters.
+// publishGauges publishes the current gauge values. The names of the gauges
+// begin with the host's counter prefix, without a leading "Requests.", so that
+// several hosts in one process have separate gauges.
 func (x *components) publishGauges() {
 	p := strings.TrimPrefix(x.host.Counter.Prefix, "Requests.")
 	e := func(name string, v float64) { metric.Metric{Name: p + name}.Set(v) }
--- a/host/operatorapi.go
+++ b/host/operatorapi.go
@@ -28,8 +28,9 @@
 	historyInterval     = 200 * time.Millisecond
 )
 
-// closeConnections closes the host's outgoing connections when ctx ends, which
-// is after all components that use them have stopped.
+// closeConnections closes the host's outgoing connections when ctx ends. The
+// supervisor ends ctx after the components that serve requests and exchange
+// heartbeats have stopped.
 func (x *components) closeConnections(ctx context.Context) error {
 	<-ctx.Done()
 	x.peerClient.Close()
@@ -86,8 +87,9 @@
 }
 
 // recordHistory adds the configurations in force to the history, and publishes
-// the gauges. A version that is in force for less than historyInterval is
-// missed, but no change is based on such a version either.
+// the gauges. A version that is in force for less than historyInterval may be
+// missed. The history does not need such a version, because no operator bases a
+// change on it.
 func (x *components) recordHistory(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if s := x.configFollower.Snapshot(); s != nil {
--- a/host/plans.go
+++ b/host/plans.go
@@ -35,9 +35,9 @@
 	// based on: loadWindow, one heartbeat and one run of
 	// updateSteering.
 	maxMeasurementLag = loadWindow + 2*time.Second
-	// lostAfterHolds is the number of Hold periods without a heartbeat from any
-	// of its hosts after which a region counts as lost. A silence of a few
-	// seconds must not move callers.
+	// lostAfterHolds is the number of Hold periods after which a region counts
+	// as lost if none of its hosts has sent a heartbeat. A silence of a few
+	// seconds must not move the region's callers.
 	lostAfterHolds = 3
 )
 
@@ -63,9 +63,9 @@
 }
 
 // campaign tries to acquire the planner lease while this host is one of the
-// frequent readers of the platform. If every host did this, the platform would
-// serve a read for each of thousands of hosts in each quarter of the lease
-// term.
+// frequent readers of the platform. Each host that tries reads the lease once
+// in each quarter of the lease term. If all hosts tried, the platform would
+// have to serve thousands of these reads per quarter.
 func (x *components) campaign(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if x.isFrequentReader() {
@@ -242,8 +242,8 @@
 	return x.steering.plans.Plan().Share(service, region, c)
 }
 
-// spareCapacity returns the unused capacity of the live regions, within the
-// headroom, as a fraction of a service's demand.
+// spareCapacity returns the capacity of the live regions that is neither used
+// nor reserved as headroom, as a fraction of a service's demand.
 func (x *components) spareCapacity(service string) float64 {
 	f, d := 0.0, 0.0
 	h := 1 - x.preset().Headroom
@@ -257,7 +257,8 @@
 }
 
 // isRegionLost reports whether a region was lost at the last run of
-// updateSteering. Lookups call it and must not iterate over all hosts.
+// updateSteering. It only reads this result, because lookups call isRegionLost
+// and must not iterate over all hosts.
 func (x *components) isRegionLost(region string) bool {
 	l := x.steering.lostRegions.Load()
 	return l != nil && (*l)[region]
@@ -312,8 +313,8 @@
 	return p, r, ok
 }
 
-// roster returns the hosts that lookups choose from. updateSteering refreshes
-// it once per planInterval; it is not built for each lookup.
+// roster returns the hosts that lookups choose from. updateSteering builds the
+// roster once per planInterval, so that lookups do not have to build it.
 func (x *components) roster() *roster.Roster {
 	if r := x.steering.roster.Load(); r != nil {
 		return r
--- a/host/requests.go
+++ b/host/requests.go
@@ -28,9 +28,10 @@
 	// storeTimeout is how long a non-idempotent request waits for the store,
 	// which may be in another region, before the request is refused.
 	storeTimeout = time.Second
-	// minCommitInterval limits a host to 40 commits per second before requests
-	// are sent, and 10 after they ended. In the worst case, 11 hosts make 550
-	// commits per second.
+	// minCommitInterval limits a host to 40 commits per second that permit
+	// requests to run. The records of ended requests, which package idempotency
+	// writes, add at most 10 commits per second. In the worst case, 11 hosts
+	// make 550 commits per second.
 	minCommitInterval = 25 * time.Millisecond
 	maxCommitBatch    = 64
 	// retention is how long callers may repeat a request with the same
@@ -138,7 +139,7 @@
 }
 
 // announceLeaving immediately marks the host as leaving in the platform's host
-// list. Peers learn it from the next heartbeat.
+// list. Peers receive this mark in the host's next heartbeat.
 func (x *components) announceLeaving(ctx context.Context, t time.Duration, done chan<- struct{}) {
 	defer close(done)
 	y, f := deadline.With(ctx, x.host.Clock, t)
@@ -164,8 +165,8 @@
 	return "", false
 }
 
-// runsExpirySweep reports whether this host removes expired records: the live
-// host whose name comes first does.
+// runsExpirySweep reports whether this host removes expired records. Only the
+// live host whose name sorts first removes them.
 func (x *components) runsExpirySweep() bool {
 	for _, m := range x.membership.Alive() {
 		if m.Name < x.host.Settings.Name {
--- a/host/steering.go
+++ b/host/steering.go
@@ -41,8 +41,9 @@
 	maxReadyWaitHolds    = 3
 	lookupPath           = "/lookup"
 	// isolatedAfter is how long a starting host receives nothing from other
-	// failure domains before it stops waiting for its share of the limits. An
-	// isolated host cannot get a share, and serves the requests that need none.
+	// failure domains before it stops waiting for its share of the limits. A
+	// host that is isolated from other failure domains cannot obtain a share,
+	// and serves the requests that need no share.
 	isolatedAfter = 800 * time.Millisecond
 	// chunksTimeout bounds the time in which a starting host fetches all chunks
 	// of client blocks.
@@ -53,12 +54,12 @@
 type steering struct {
 	relay     *relay.Relay
 	freshness *freshness.Freshness
-	current   atomic.Bool // has the newest versions, so it may answer lookups
-	ready     atomic.Bool // also has its share of the limits, so it may serve requests
+	current   atomic.Bool // the host has the newest versions, so it answers lookups
+	ready     atomic.Bool // the host also has its share of the limits, so it serves requests
 
 	mu         sync.Mutex
 	knownHosts map[string]knownHost
-	newest     map[string]uint64 // by kind
+	newest     map[string]uint64 // highest version that any peer reported, by kind of replica
 
 	plans            *planfollower.Planfollower
 	blocks           *blockfollower.Blockfollower
@@ -150,8 +151,8 @@
 // two live hosts of a failure domain in name order poll frequently, and the
 // relay distributes the contents that they read: 27 failure domains cause 54
 // reads per second, regardless of their number of hosts. The other hosts poll
-// rarely, in case only the two frequent readers are disconnected from the
-// platform.
+// rarely, so that the failure domain still receives new contents if only its two
+// frequent readers are disconnected from the platform.
 func (x *components) pollInterval() time.Duration {
 	if x.isFrequentReader() || x.configFollower.Snapshot() == nil {
 		return frequentPollInterval
@@ -167,8 +168,8 @@
 }
 
 // areKeysStale reports whether withdrawals of keys may have been missed for
-// longer than the configured staleness. With one failure domain none can be
-// missed, because every change is accepted by a host of that domain.
+// longer than the configured staleness. With one failure domain no withdrawal
+// can be missed, because every change is accepted by a host of that domain.
 func (x *components) areKeysStale(nonIdempotent bool) bool {
 	s := x.configFollower.Snapshot()
 	if s == nil || len(s.Config.Domains) < 2 {
@@ -249,8 +250,8 @@
 // platform's versions or, while the platform is unreachable, the highest
 // versions that peers report within Hold. With an older configuration, the host
 // could accept a key that was withdrawn long ago. Without the newest plan, it
-// would steer moved callers back to their former region at once, without the
-// cap on steps.
+// would steer all moved callers back to their former region at once instead of
+// in steps of limited size.
 func (x *components) waitUntilReady(ctx context.Context) error {
 	t := x.host.Clock.Now()
 	for !x.steering.ready.Load() {
@@ -287,14 +288,15 @@
 		n := x.steering.newest[r.Kind]
 		x.steering.mu.Unlock()
 		if r.CurrentVersion().Version < n {
-			// A peer may report a version and be unreachable when this host
-			// fetches it, so the wait is bounded.
+			// The peer that reported the newest version may be unreachable when
+			// this host fetches the version, so the wait is bounded.
 			return waited >= maxReadyWaitHolds*x.host.Settings.Hold
 		}
 		p = p && r.HasPolled()
 	}
 	if !x.limits.entitlement.Valid() && waited < maxReadyWaitHolds*x.host.Settings.Hold {
-		// The host would refuse callers that are within their rate.
+		// Without a valid entitlement, the host would refuse callers that are
+		// within their rate.
 		return false
 	}
 	return p || waited >= x.host.Settings.Hold
@@ -316,9 +318,9 @@
 	return time.Duration(x.steering.freshness.Age()) > isolatedAfter
 }
 
-// requireReady refuses callers until the host is ready, and names other hosts
-// that may be. Lookups are answered as soon as the host has the newest
-// versions.
+// requireReady refuses requests until the host is ready, and names other entry
+// hosts in the refusal. Lookups are already answered when the host has the
+// newest versions.
 func (x *components) requireReady(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !x.steering.ready.Load() && (r.URL.Path != lookupPath || !x.steering.current.Load()) {
--- a/host/supervisor.go
+++ b/host/supervisor.go
@@ -17,9 +17,9 @@
 	lastResponseTimeout = time.Second
 )
 
-// assemble builds the supervisor tree. Each branch depends only on those before
-// it and stops before them. Callers are thereby served until no request is in
-// flight, while limits, peers and configuration still work.
+// assemble builds the supervisor tree. Each branch depends only on the branches
+// before it, and the supervisor stops it before them. The limits, peers and
+// configuration thereby keep working until no request of a caller is in flight.
 func (h *Host) assemble(c, p, o net.Listener) *supervisor.Supervisor {
 	x := h.newComponents()
 	x.peerserver.Listener = p
--- a/membership/compact.go
+++ b/membership/compact.go
@@ -8,15 +8,15 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// fullHeartbeatsPerHold is how many full heartbeats are sent to a peer within Hold.
-// Only these carry the data that may be slightly out of date, often enough that two
-// lost ones in a row do no harm.
+// fullHeartbeatsPerHold is how many full heartbeats are sent to a peer within
+// Hold. Only full heartbeats carry the data that may be slightly out of date.
+// With three of them within Hold, the loss of two in a row does no harm.
 const fullHeartbeatsPerHold = 3
 
-// newHeartbeat returns a heartbeat for the peer with the given name, which is empty
-// if it is not known yet. The list of hosts is the largest part of a heartbeat and
-// rarely changes, so it is omitted while the peer's digest shows that it already
-// has the list.
+// newHeartbeat returns a heartbeat for the peer with the given name. The name is
+// empty if the peer is not known yet. The list of hosts is the largest part of a
+// heartbeat and rarely changes, so it is omitted while the peer's digest shows
+// that it already has the list.
 func (m *Membership) newHeartbeat(to string) *wire.Heartbeat {
 	h := &wire.Heartbeat{Protocol: Protocol, From: toWire(m.Self()), Full: true}
 	for _, v := range m.Alive() {
@@ -41,7 +41,8 @@
 		h.Known = nil
 	}
 	n := m.Clock.Now()
-	// A peer that has no list from this host may not know this host at all.
+	// A peer that has received no list of hosts from this host may not know this
+	// host at all, so the heartbeat for this peer is full.
 	h.Full = p.ackedDigest == 0 || n.Sub(p.lastFull) >= m.Hold/fullHeartbeatsPerHold
 	if h.Full {
 		p.lastFull = n
@@ -50,9 +51,10 @@
 	h.From = &wire.Host{Name: h.From.Name, Incarnation: h.From.Incarnation, Leaving: h.From.Leaving, Starting: h.From.Starting}
 }
 
-// expand restores the fields that were omitted from a heartbeat. A list of hosts
-// that this host does not have stays empty: the digest in its own heartbeats shows
-// this to the peer, whose next heartbeat contains the list.
+// expand restores the fields that were omitted from a heartbeat. If the peer
+// omitted a list of hosts that this host does not have, the list stays empty.
+// The digest in this host's own heartbeats then shows the peer that the list is
+// missing, and the peer's next heartbeat contains it.
 func (p *peer) expand(h *wire.Heartbeat) {
 	p.ackedDigest = h.HasDigest
 	if !h.Full && p.member.PeerAddress != "" {
--- a/membership/compact_test.go
+++ b/membership/compact_test.go
@@ -33,9 +33,10 @@
 }
 
 // Heartbeats are lost, a third host appears, and a process is replaced. In all
-// cases a host must know the hosts that a peer knows as soon as two messages in a
-// row have arrived: the digest shows that a list was omitted, and it is sent again.
-// Otherwise a host could receive no traffic although its heartbeats arrive.
+// cases a host must have its peer's list of hosts as soon as two messages in a
+// row have arrived: the host's digest shows the peer that the list is missing,
+// and the peer sends the list again. Otherwise a host could receive no traffic
+// although its heartbeats arrive.
 func TestHostListRecoversFromLostHeartbeats(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clockwork.NewFakeClock()
--- a/membership/heartbeatloop.go
+++ b/membership/heartbeatloop.go
@@ -7,13 +7,14 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// exchangeTimeoutsPerHold is how many exchanges in a row may time out within Hold.
-// A connection that no longer responds costs one of them, and the next exchange
-// opens a new connection.
+// exchangeTimeoutsPerHold is how many exchanges in a row may time out within
+// Hold. A connection that no longer responds causes one time-out, and the next
+// exchange opens a new connection.
 const exchangeTimeoutsPerHold = 6
 
-// heartbeatLoop controls the goroutine that exchanges heartbeats with one address.
-// Each address has its own, so that a peer that does not respond delays no other.
+// heartbeatLoop controls the goroutine that exchanges heartbeats with one
+// address. Each address has its own goroutine, so that a peer that does not
+// respond does not delay the heartbeats to other peers.
 type heartbeatLoop struct {
 	cancel context.CancelFunc
 	done   chan struct{}
@@ -60,9 +61,9 @@
 	}
 }
 
-// exchange sends one heartbeat and records the reply. The time of sending is taken
-// before anything else, because the reply is valid for Hold from then on,
-// regardless of its latency.
+// exchange sends one heartbeat and records the reply. The time of sending is
+// taken before the heartbeat is created, because the reply is valid for Hold
+// from the time of sending, regardless of its latency.
 func (m *Membership) exchange(ctx context.Context, address string) {
 	x, f := clockwork.WithTimeout(ctx, m.Clock, m.Hold/exchangeTimeoutsPerHold)
 	defer f()
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -22,8 +22,8 @@
 const Protocol = 1
 
 // forgetAfterHolds is the time without a heartbeat, in multiples of Hold, after
-// which a peer is no longer contacted unless another host names it. It is longer
-// than the network partitions of an ordinary year.
+// which a peer is no longer contacted unless another host's heartbeat names the
+// peer. This time is longer than the network partitions of an ordinary year.
 const forgetAfterHolds = 1200
 
 // Membership exchanges heartbeats with all peers of the host.
@@ -50,9 +50,9 @@
 	// FillHeartbeat adds this host's versions and loads to a heartbeat. If the
 	// heartbeat is full, it also adds data that may be slightly out of date.
 	FillHeartbeat func(h *wire.Heartbeat)
-	// OnHeartbeat is called with each heartbeat and each reply received. For a reply,
-	// sent is when this host sent its heartbeat; for heartbeats sent by a peer, it
-	// is zero.
+	// OnHeartbeat is called with each heartbeat and each reply received. For a
+	// reply, sent is when this host sent its heartbeat; for a heartbeat that a
+	// peer sent, sent is zero.
 	OnHeartbeat func(h *wire.Heartbeat, sent time.Time)
 
 	mu       sync.Mutex
@@ -256,16 +256,17 @@
 }
 
 // supersedes reports whether a heartbeat is newer than the last one of its host.
-// Messages may arrive out of order, and those of a replaced process may arrive
-// after its replacement's. It therefore records the incarnations that were
-// replaced.
+// Messages may arrive out of order, and messages of a replaced process may
+// arrive after those of its replacement. supersedes therefore records the
+// incarnations that were replaced.
 func (m *Membership) supersedes(v member.Member, h *wire.Heartbeat) bool {
 	p := m.peers[v.Name]
 	if p != nil && p.member.Incarnation == v.Incarnation {
 		return h.Sequence > p.lastHeartbeat.GetSequence()
 	}
 	if v.PeerAddress == "" {
-		// A short heartbeat of a process whose full one has not arrived yet.
+		// A short heartbeat of a process whose first full heartbeat has not
+		// arrived yet.
 		return false
 	}
 	if m.replaced[v.Incarnation] {
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -80,8 +80,8 @@
 	must.Eq(t, 2, m.Alive()[0].Incarnation)
 }
 
-// Heartbeats may arrive out of order. An older one must not overwrite the state of
-// a newer one, here that the host is leaving.
+// Heartbeats may arrive out of order. An older heartbeat must not overwrite the
+// state from a newer one, which in this test reports that the host is leaving.
 func TestOlderHeartbeatIsIgnored(t *testing.T) {
 	m := newMembership(clockwork.NewFakeClock())
 	h := newHeartbeat("a", 1, 5)
@@ -91,8 +91,9 @@
 	must.True(t, m.IsLeaving("a"))
 }
 
-// The platform's list contains a process that is leaving, and another incarnation
-// of a process. An entry describes a process, not a name.
+// The platform's list contains a process that is leaving, and a newer
+// incarnation of a replaced process. Neither the leaving nor the replaced
+// process counts as listed, because an entry describes a process, not a name.
 func TestOnListChecksIncarnation(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	m := newMembership(c)
--- a/membership/notice_test.go
+++ b/membership/notice_test.go
@@ -15,9 +15,10 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// Heartbeats from two hosts stop. This host still sends heartbeats to the first,
-// which does not reply: that peer is silent, and on-call engineers have to look for
-// it. The other one has only selected other heartbeat peers and works normally.
+// Heartbeats from two peers stop. This host still sends heartbeats to the peer
+// a-near and receives no replies: this peer is silent, and on-call engineers
+// have to look for it. The peer far works normally and has only selected other
+// heartbeat peers.
 func TestPeersWithOtherPartnersAreNotSilent(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	b := new(logbuffer.Logbuffer)
--- a/mirrorsync/mirrorsync.go
+++ b/mirrorsync/mirrorsync.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxPendingFetches is the maximum number of queued fetches. Others are
-	// dropped, and the next heartbeats trigger them again.
+	// maxPendingFetches is the maximum number of queued fetches. Further fetches
+	// are dropped, and the next heartbeats trigger them again.
 	maxPendingFetches = 32
 	// fetchTimeout bounds a fetch, so that one silent host does not delay the
 	// next fetch for longer.
@@ -49,7 +49,7 @@
 	return &Mirrorsync{jobs: make(chan fetchJob, maxPendingFetches)}
 }
 
-// Versions returns the versions of the own copies, for heartbeats.
+// Versions returns the versions of this host's copies, for heartbeats.
 func (c *Mirrorsync) Versions() []*wire.Version {
 	var r []*wire.Version
 	for _, m := range c.Mirrors {
--- a/publish/publish.go
+++ b/publish/publish.go
@@ -74,12 +74,12 @@
 }
 
 // commitUntilKnown sends the commit until its outcome is known. After a lost
-// answer it reads the row. Our hash under our version means that the commit
-// took effect, even if other versions have followed; another hash under our
-// version means that it never will. An unchanged row proves nothing, because
-// the commit may still be in flight. The same commit is then sent again: its
-// condition lets at most one of the copies take effect, and each copy would
-// leave the same row.
+// answer, commitUntilKnown reads the row. If the row has the hash of a under the
+// version of a, the commit took effect, even if other versions have followed. If
+// the row has another hash under this version, the commit can never take effect.
+// An unchanged row proves nothing, because the commit may still be in flight.
+// The same commit is then sent again: its condition lets at most one of the
+// copies take effect, and each copy would leave the same row.
 func (p *Publish) commitUntilKnown(ctx context.Context, a acceptedversion.Acceptedversion, c commit.Commit) (acceptedversion.Acceptedversion, bool, error) {
 	var cause error
 	for i := range commitAttempts {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay distributes new versions of shared content from host to host. Every
-// version reaches every host within seconds although few hosts read the platform,
-// including hosts that cannot reach the platform.
+// Package relay distributes new versions of shared content from host to host.
+// Although few hosts read the platform, every version reaches every host within
+// seconds, including hosts that cannot reach the platform.
 package relay
 
 import (
@@ -19,8 +19,8 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// maxPeersPerObject is how many peers are queried for a part of a content before
-// the platform is.
+// maxPeersPerObject is the maximum number of peers from which a part of a
+// content is requested before the platform is used.
 const maxPeersPerObject = 3
 
 // Relay compares the versions that peers announce with its own, fetches newer ones,
@@ -41,7 +41,8 @@
 	PartByHash func(kind, hash string) []byte
 	// Fetch requests newer content from a peer.
 	Fetch func(ctx context.Context, address string, f *wire.FetchRequest) (*wire.FetchResponse, error)
-	// Notify sends this host's versions to a peer and returns the peer's.
+	// Notify sends this host's versions to a peer and returns the versions of
+	// that peer.
 	Notify func(ctx context.Context, address string, n *wire.Notice) (*wire.Notice, error)
 	// Fanout is the maximum number of peers notified concurrently.
 	Fanout int
@@ -57,8 +58,8 @@
 	wake         []chan struct{}
 }
 
-// RecordVersions records the versions that a peer announces, and wakes Run if one is
-// newer.
+// RecordVersions records the versions that a peer announces, and wakes Run if
+// one of them is newer than this host's version.
 func (r *Relay) RecordVersions(from string, v []*wire.Version) {
 	r.mu.Lock()
 	if r.peerVersions == nil {
@@ -165,10 +166,10 @@
 	}
 }
 
-// fetch requests newer content from the peers that have a higher version, one after
-// another, until one has provided it. A peer that failed is skipped for RetryDelay: if
-// it is unreachable in one direction only, it keeps announcing versions that no
-// host can fetch from it.
+// fetch requests newer content from the peers that have a higher version, one
+// after another, until one has provided it. A peer from which a fetch failed is
+// skipped for RetryDelay: if messages pass only from the peer to this host, the
+// peer keeps announcing versions that this host cannot fetch from it.
 func (r *Relay) fetch(ctx context.Context, p *replica.Replica) {
 	for _, m := range r.peersAhead(p) {
 		if r.peerVersion(m.Name, p.Kind) <= p.CurrentVersion().Version {
@@ -191,9 +192,10 @@
 	}
 }
 
-// peersAhead returns the peers with a higher version: the highest version first,
-// then the nearest peer. Peers that are equal in both are ordered differently on
-// each host, so that not all hosts query the same peer.
+// peersAhead returns the peers with a higher version, ordered by version,
+// highest first, then by distance, nearest first. Peers with equal version and
+// distance are ordered differently on each host, so that not all hosts query the
+// same peer.
 func (r *Relay) peersAhead(p *replica.Replica) []member.Member {
 	v := p.CurrentVersion().Version
 	n := r.Clock.Now()
@@ -255,8 +257,8 @@
 		return // the peer learns the versions from heartbeats
 	}
 	r.RecordVersions(m.Name, a.Versions)
-	// The peer fetches by itself from now on. Recording the versions as received
-	// avoids sending it the same notice at each pass.
+	// The peer now fetches the contents by itself. Recording the announced
+	// versions as the peer's own avoids sending it the same notice at each pass.
 	r.RecordVersions(m.Name, n.Versions)
 }
 
--- a/replica/fetch.go
+++ b/replica/fetch.go
@@ -32,7 +32,8 @@
 }
 
 // stepsSince returns the deltas from a version to the one in force. It returns
-// false if some are no longer kept, or if they are not smaller than the content.
+// false if some of these deltas are no longer kept, or if they are together not
+// smaller than the content.
 func (r *Replica) stepsSince(version uint64) ([]*wire.Step, bool) {
 	n := r.version - version
 	if n > uint64(len(r.steps)) {
@@ -87,7 +88,7 @@
 func (r *Replica) applySteps(have uint64, a *wire.FetchResponse) error {
 	v, _, b := r.Content()
 	if v != have {
-		return nil // another source was faster; later digests show what is still missing
+		return nil // another source was faster; peers' later digests show whether a version is still missing
 	}
 	for i, s := range a.Steps {
 		if s.Version != have+uint64(i)+1 {
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// maxPieceBytes limits the content in one message, well below the 4 MB that
-	// drpc reads.
+	// maxPieceBytes limits the content in one message. The limit is well below
+	// the 4 MB that drpc accepts in a message.
 	maxPieceBytes = 1 << 20
 	// maxStepBytes limits the deltas that are kept for peers that are several
 	// versions behind.
@@ -78,17 +78,18 @@
 	return r.version, r.hash, r.content
 }
 
-// Divergences returns how often a different content was seen with this host's version.
+// Divergences returns how often a peer or the platform announced a different
+// content under this host's version.
 func (r *Replica) Divergences() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.divergences
 }
 
-// IsBehind reports whether a peer's digest has a higher version. Two contents with
-// the same version can only result from a platform that lost what it had accepted.
-// The host then keeps its own content, because replacing it would revert what is in
-// force, and logs an error.
+// IsBehind reports whether a peer's digest has a higher version. Two contents
+// can have the same version only if the platform has lost versions that it had
+// accepted. The host then keeps its own content, because replacing it would
+// revert what is in force, and logs an error.
 func (r *Replica) IsBehind(v *wire.Version, from string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -18,16 +18,16 @@
 	Hosts []string
 	// Behind are hosts that are alive but have only reported a lower version.
 	Behind []string `json:",omitzero"`
-	// Silent are known hosts from which no heartbeats arrive. A withdrawn key may
-	// work there until KeyStaleness ends.
+	// Silent are known hosts from which no heartbeats arrive. These hosts may
+	// accept a withdrawn key until KeyStaleness has passed.
 	Silent []string `json:",omitzero"`
 	// SilentDomains are failure domains from which no heartbeats arrive.
 	SilentDomains []string `json:",omitzero"`
 }
 
-// Compute returns the rollout state of a version. own is the version of this host
-// itself; last returns the latest heartbeat of a host that is alive; known are the
-// hosts that the platform lists or that have sent heartbeats since the start.
+// Compute returns the rollout state of a version. own is the version of this
+// host itself; last returns the latest heartbeat of a host that is alive; known
+// are the hosts that have recently sent heartbeats, live or not.
 func Compute(version, own uint64, self member.Member, known []member.Member, domains []string, last func(name string) (*wire.Heartbeat, bool)) Rollout {
 	r := Rollout{Version: version}
 	r.add(self.Name, own)
--- a/storesilence/storesilence.go
+++ b/storesilence/storesilence.go
@@ -21,10 +21,11 @@
 type Storesilence struct {
 	// Clock measures how long changes may be missing after a silence.
 	Clock clockwork.Clock
-	// Log receives one line when changes may be missing and one when none are.
+	// Log receives one line when changes may be missing and one when no changes can be
+	// missing any more.
 	Log *log.Logger
-	// Age returns the time since the store last answered this host or one that it
-	// receives messages from; ok is false if the store never did.
+	// Age returns the time since the store last answered this host or a host that sends
+	// messages to this one; ok is false if the store never answered.
 	Age func() (d time.Duration, ok bool)
 	// MaxAge is the age from which changes may be missing.
 	MaxAge time.Duration
@@ -38,7 +39,7 @@
 	EntriesDelay time.Duration
 
 	mu         sync.Mutex
-	lastAge    time.Duration // at the last check
+	lastAge    time.Duration // result of Age at the last check
 	silenceEnd time.Time     // end of the last long silence
 	staleUntil time.Time     // changes may be missing until then
 	logged     bool          // the last log line was that changes may be missing
--- a/storesilence/storesilence_test.go
+++ b/storesilence/storesilence_test.go
@@ -14,13 +14,14 @@
 // seconds is a list of times in seconds since the start.
 type seconds []float64
 
-// contains reports whether a time is among them.
+// contains reports whether d is one of the times in l.
 func (l seconds) contains(d time.Duration) bool {
 	return slices.ContainsFunc(l, func(v float64) bool { return d == time.Duration(v*float64(time.Second)) })
 }
 
 // missingDuration returns for how long ChangesMissing reports true in 20 s if the store
-// answers at the times of answers, and on the entries at those of entries.
+// answers at the times in answers, and answers requests for the entries at the times in
+// entries.
 func missingDuration(answers, entries seconds) (missing time.Duration) {
 	c := clockwork.NewFakeClock()
 	b := c.Now()
@@ -46,8 +47,9 @@
 	return missing
 }
 
-// Guards against a change during a silence that isn't considered, and against a short
-// silence that restricts requests after its end.
+// Guards against two failures: after a long silence of the store, changes made during
+// the silence aren't considered missing, and a short silence still restricts requests
+// after its end.
 func TestUnheard(t *testing.T) {
 	regular := seconds{0.1, 1, 4, 7, 10, 13, 16, 19}
 	for _, v := range []struct {
--- a/validate/validate_test.go
+++ b/validate/validate_test.go
@@ -12,8 +12,8 @@
 	"celeryreach.example/celeryreach/validate"
 )
 
-// Each file holds a configuration and all mistakes in it. An operator who sends it
-// must see all of them at once, each with its field.
+// Each file holds a configuration and all mistakes in it. An operator who sends
+// such a configuration must receive all mistakes at once, each with its field.
 func TestConfig(t *testing.T) {
 	golden.Run(t, func(t *testing.T, p [][]byte) string {
 		var c config.Config
