--- a/authenticator/authenticator.go
+++ b/authenticator/authenticator.go
@@ -35,7 +35,7 @@
 	return s.Key(credential.Hash(k))
 }
 
-// Valid reports whether a key that was accepted earlier is still in force. It is
+// Valid reports whether a key that was accepted earlier is still in force. The key is
 // checked again right before a request is sent, since the key may have been withdrawn
 // while the request waited.
 func (a *Authenticator) Valid(c credential.Credential) bool {
@@ -65,10 +65,10 @@
 	return ""
 }
 
-// InvalidKeyReason returns the error in the way a request carries its key, empty if there is
-// none. A key must be sent in one place only: a copy in the query, a cookie or a
-// Referer would reach the backend server, and with two keys one account would be
-// charged for the other's request.
+// InvalidKeyReason returns what is wrong with the way in which a request carries its
+// key, or an empty string if nothing is wrong. A key must be sent in one place only: a
+// copy in the query, a cookie or a Referer would reach the backend server. If a request
+// carried two keys, one account would be charged for the other's request.
 func InvalidKeyReason(r *http.Request) string {
 	a, x := r.Header["Authorization"], r.Header[KeyHeader]
 	if len(a) > 1 || len(x) > 1 {
--- a/certreloader/certreloader_test.go
+++ b/certreloader/certreloader_test.go
@@ -77,9 +77,9 @@
 	return number, <-d, atClient
 }
 
-// Guards against an untrusted client at the address for hosts, without a certificate or
-// with one of another authority: it must not receive a single byte. A host must also
-// reject an untrusted server at another host's address.
+// Guards against an untrusted client at the address for hosts. A client without a
+// certificate or with a certificate of another authority must not receive a single
+// byte. A host must also reject an untrusted server at another host's address.
 func TestUntrustedPeerIsRejected(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	a, b := newAuthority(t), newAuthority(t)
--- a/coldrate/coldrate.go
+++ b/coldrate/coldrate.go
@@ -20,7 +20,8 @@
 
 // Coldrate computes how many requests per second this host may send to a cold backend
 // server. A backend server that restarts cold crashes again under full load. No host can
-// count the requests of all hosts in time, so each has a fixed part of the rate.
+// count the requests of all hosts in time, so each host has a fixed part of the
+// rate.
 type Coldrate struct {
 	// Self is the name of this host.
 	Self string
@@ -48,8 +49,9 @@
 	return n
 }
 
-// Allow reports whether one more request may be sent after those sent at the given times,
-// at most part within a second. It returns the times that still count.
+// Allow reports whether one more request may be sent now. sent holds the times of
+// earlier requests, and at most part requests may be sent within a second. Allow
+// returns the times that still count.
 func Allow(sent []time.Time, part int, now time.Time) ([]time.Time, bool) {
 	i := sort.Search(len(sent), func(i int) bool { return now.Sub(sent[i]) < rateWindow })
 	sent = sent[i:]
--- a/decisionlog/decisionlog.go
+++ b/decisionlog/decisionlog.go
@@ -9,7 +9,8 @@
 	"github.com/charmbracelet/log"
 )
 
-// maxSteps bounds the entries kept for one request. A request with two tries has eight.
+// maxSteps bounds the entries kept for one request. A request with two attempts has
+// eight entries.
 const maxSteps = 16
 
 // Decisionlog is the list of decisions made for one request, in order. Logged
@@ -39,7 +40,7 @@
 	}
 }
 
-// Write logs one line for each decision and clears the log of decisions. The field Ago is the time
+// Write logs one line for each decision and then clears t. The field Ago is the time
 // between the decision and the log line.
 func (t *Decisionlog) Write(l *log.Logger, request string, now time.Time) {
 	if t == nil {
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -40,8 +40,8 @@
 type Dispatch struct {
 	// Clock measures deadlines.
 	Clock clockwork.Clock
-	// AcquireSlot returns a slot for a request, or the outcome that explains why there
-	// is none. If nil, Queue is used.
+	// AcquireSlot returns a slot for a request, or the outcome that explains why no
+	// slot is available. If nil, Queue is used.
 	AcquireSlot func(ctx context.Context, r *request.Request) (slot.Slot, outcome.Outcome)
 	// Queue returns the queue of a service, or nil if the service is not known.
 	Queue func(service string) *queue.Queue
@@ -68,8 +68,9 @@
 	CancelReleaseDelay time.Duration
 }
 
-// attempt is the result of sending a request once: the response, of which only the
-// header has been read, and its slot, or the outcome that explains why there is none.
+// attempt is the result of sending a request once. It holds either the response, of
+// which only the header has been read, and its slot, or the outcome that explains why
+// there is no response.
 type attempt struct {
 	answer  *http.Response
 	slot    slot.Slot
@@ -77,10 +78,10 @@
 	index   int
 }
 
-// Serve runs r and writes the response to w. Unless the outcome is Answered, nothing
-// was written to w, and the outcome is the reason. Serve panics with
-// http.ErrAbortHandler if the response is truncated after its header was written,
-// since only a broken connection signals that to the caller.
+// Serve runs r and writes the response to w. Unless the outcome is Answered, Serve has
+// written nothing to w, and the outcome states the reason. Serve panics with
+// http.ErrAbortHandler if the response is truncated after its header was written, since
+// only a broken connection signals the truncation to the caller.
 func (d *Dispatch) Serve(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
 	x, f := deadline.With(ctx, d.Clock, r.Deadline.Sub(d.Clock.Now()))
 	defer f()
@@ -105,7 +106,8 @@
 	return d.send(ctx, r, s, fresh, sent)
 }
 
-// waitForSlot returns a slot for r, or the outcome that explains why there is none.
+// waitForSlot returns a slot for r, or the outcome that explains why no slot is
+// available.
 func (d *Dispatch) waitForSlot(ctx context.Context, r *request.Request) (slot.Slot, outcome.Outcome) {
 	if d.AcquireSlot != nil {
 		return d.AcquireSlot(ctx, r)
@@ -137,8 +139,8 @@
 		s.Release(result.Unused)
 		return attempt{outcome: refuse(outcome.OverRate, "the token is too old")}
 	}
-	// It may also have been paused after the wait, so that the request has ended
-	// since.
+	// The process may also have been paused after the wait for a slot, and the request
+	// may have ended during that pause.
 	if ctx.Err() != nil || !r.SendGate.Send() {
 		s.Release(result.Unused)
 		return attempt{outcome: refuse(outcome.Left, "the caller left")}
@@ -190,8 +192,8 @@
 	return o
 }
 
-// mayRetry reports whether r may be sent again after an attempt with outcome o. If so,
-// it has rewound the body and taken the retry from the budget.
+// mayRetry reports whether r may be sent again after an attempt with outcome o. If it
+// returns true, mayRetry has rewound the body and taken the retry from the budget.
 func (d *Dispatch) mayRetry(o outcome.Outcome, r *request.Request) bool {
 	s := o.Outcome == outcome.NoCapacity && (o.Message == msgNoRoom || o.Message == msgNoConnection)
 	b := o.Outcome == outcome.BackendFailed && !r.NonIdempotent
@@ -201,8 +203,8 @@
 	return d.Budget.TakeRetry(r.Service.Name)
 }
 
-// copyAnswer copies the response of an attempt to the caller, or returns the attempt's
-// outcome.
+// copyAnswer copies the response of an attempt to the caller. If the attempt has no
+// response, copyAnswer returns the attempt's outcome.
 func (d *Dispatch) copyAnswer(ctx context.Context, r *request.Request, t attempt, w http.ResponseWriter) outcome.Outcome {
 	if t.outcome.Outcome != "" {
 		return t.outcome
--- a/dispatch/hedgedrequest.go
+++ b/dispatch/hedgedrequest.go
@@ -40,8 +40,8 @@
 	return o
 }
 
-// firstAnswer returns the first attempt that has a response, or the outcome of the
-// last attempt if none has.
+// firstAnswer returns the first attempt that has a response. If no attempt has a
+// response, it returns the outcome of the last attempt.
 func (a *hedgedRequest) firstAnswer(ctx context.Context) attempt {
 	var late clockwork.Timer
 	var c <-chan time.Time
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// BenchmarkEnrolments measures the cost in the store of enrolments with IDs
-// chosen by callers and with tickets. The minimum interval between commits is
-// that of a host.
+// BenchmarkEnrolments measures how much enrolments cost in the store, both with IDs
+// chosen by callers and with tickets. The minimum interval between commits is the same
+// as on a host.
 func BenchmarkEnrolments(b *testing.B) {
 	for _, m := range []string{"own", "ticket"} {
 		b.Run(m, func(b *testing.B) {
--- a/entry/body.go
+++ b/entry/body.go
@@ -50,7 +50,7 @@
 		return outcome.Outcome{}
 	}
 	c := http.NewResponseController(b.writer)
-	_ = c.SetReadDeadline(r.Deadline) // writers without deadlines need none
+	_ = c.SetReadDeadline(r.Deadline) // writers that support no deadlines need none
 	p, err := io.ReadAll(b)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return refuse(outcome.DeadlineExceeded, "the body did not arrive in time")
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -176,8 +176,8 @@
 	return e.serveLocallyOrForward(ctx, r, w)
 }
 
-// serveLocallyOrForward tries the local failure domain, and another one if the
-// local one refuses the request.
+// serveLocallyOrForward runs a request in the local failure domain, and forwards the
+// request to another domain if the local one refuses it.
 func (e *Entry) serveLocallyOrForward(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
 	o := e.ServeLocally(ctx, r, w)
 	if o.Outcome != outcome.NoCapacity || o.Ran != outcome.RanNo || !rewindBody(r) {
@@ -194,7 +194,7 @@
 		r.SendGate.Unsend()
 	}
 	if o.Outcome == outcome.NoCapacity && l > 0 && (l < o.RetryAfter || o.RetryAfter == 0) {
-		// The local domain will have a free slot before the others do.
+		// The local domain will have a free slot before the other domains do.
 		o.RetryAfter = l
 	}
 	return o
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -88,8 +88,9 @@
 	return w[len(w)-1]
 }
 
-// Write writes the explanation: for each host that handled the request, the last event
-// of each kind before its first line, and then its lines.
+// Write writes the explanation. For each host that handled the request, it writes the
+// last state event of each kind before the host's first line of the request, and then
+// the host's lines of the request.
 func (e *Explain) Write(w io.Writer) error {
 	var l []line
 	for _, v := range e.lines {
@@ -117,7 +118,8 @@
 }
 
 // writeStateBefore writes the events that describe the host's state before its first
-// line of the request. Events of backend servers are included only for those in named.
+// line of the request. Events of a backend server are included only if named contains
+// the backend server.
 func (e *Explain) writeStateBefore(w io.Writer, first line, named map[string]bool) error {
 	m := make(map[string]line)
 	for _, v := range e.lines[:first.order] {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -13,9 +13,9 @@
 	"celeryreach.example/celeryreach/explain"
 )
 
-// Each file contains the logs of several hosts, the id of a failed request in the last
-// line of its comment, and the expected explanation: the state of each host when the
-// request arrived, and its decisions. UPDATE=1 rewrites the explanation.
+// Each file contains the logs of several hosts and the expected explanation: the state
+// of each host when the request arrived, and the host's decisions. The last line of the
+// file's comment is the id of the failed request. UPDATE=1 rewrites the explanation.
 func TestExplain(t *testing.T) {
 	l, err := filepath.Glob("testdata/*.txtar")
 	must.NoError(t, err)
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -20,16 +20,16 @@
 	keepaliveInterval = time.Second
 	maxSilence        = 3 * time.Second
 	// maxSilenceOnReuse is the longest wait for the first message on a reused
-	// connection, where a false alarm costs nothing. The other end sends its
-	// first message as soon as it has received the request, so this is more
+	// connection, where a false alarm costs nothing. The other end sends its first
+	// message as soon as it has received the request, so 500 ms is enough: it is more
 	// than four round trips of 110 ms.
 	maxSilenceOnReuse = 500 * time.Millisecond
 	// streamEndTimeout bounds the shutdown of a stream whose answer is
 	// complete.
 	streamEndTimeout = 100 * time.Millisecond
-	// maxHeldAnswerBytes is how much of an answer is held back until it is
-	// complete. If the stream breaks within it, the caller receives a typed
-	// error; after it, only the caller's connection can be aborted.
+	// maxHeldAnswerBytes is how much of an answer is held back until the answer is
+	// complete. If the stream breaks within these bytes, the caller receives a typed
+	// error. If the stream breaks later, only the caller's connection can be aborted.
 	maxHeldAnswerBytes = 64 << 10
 )
 
@@ -70,7 +70,7 @@
 	s, r, d, err := a.forward.Open(x, address, fresh)
 	a.reused = r
 	if err != nil {
-		// At most the name of the RPC has been sent.
+		// At most the name of the RPC has been sent, so the request did not run.
 		return refuse("the other failure domain cannot be reached", time.Second)
 	}
 	a.stream = s
@@ -108,7 +108,8 @@
 			a.cancel()
 		}
 		s()
-		// A blocked send to a silent host would delay this.
+		// A send that blocks because the other host is silent would delay the end of
+		// Run, so the stream is canceled after streamEndTimeout.
 		t := f.Clock.AfterFunc(streamEndTimeout, a.cancel)
 		<-d
 		t.Stop()
@@ -193,9 +194,9 @@
 	}
 }
 
-// sendLongBody sends a long body. No goroutine waits for it, because a caller
-// that sends slowly must not delay an answer that arrives before its body is
-// read. It returns when the stream ends or when the server closes the caller's
+// sendLongBody sends a long body. No goroutine waits for sendLongBody, because a caller
+// that sends slowly must not delay an answer that arrives before the body is read.
+// sendLongBody returns when the stream ends or when the server closes the caller's
 // body.
 func (a *attempt) sendLongBody() {
 	if err := a.sendBody(); err != nil {
@@ -204,9 +205,9 @@
 	}
 }
 
-// endRefused returns the outcome that the other end reported. If part of the
-// answer has been sent to the caller, it aborts the caller's connection
-// instead, because nothing else shows the caller that the rest is missing.
+// endRefused returns the outcome that the other end reported. If part of the answer has
+// been sent to the caller, endRefused aborts the caller's connection instead, because
+// nothing else shows the caller that the rest is missing.
 func (a *attempt) endRefused(v *wire.Refusal) outcome.Outcome {
 	if a.headSent {
 		panic(http.ErrAbortHandler)
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -1,6 +1,6 @@
-// Package forward sends requests that the local failure domain cannot run to a
-// host of another one, which either admits a request or refuses it without
-// running it.
+// Package forward sends requests that the local failure domain cannot run to a host of
+// another failure domain. That host either admits a request or refuses the request
+// without running it.
 package forward
 
 import (
@@ -59,8 +59,8 @@
 	active int
 }
 
-// Serve forwards r and writes the answer to w. It tries another target only if
-// the one before is known not to have run the request.
+// Serve forwards r and writes the answer to w. It tries another target only if the
+// previous target is known not to have run the request.
 func (f *Forward) Serve(ctx context.Context, r *request.Request, w http.ResponseWriter) outcome.Outcome {
 	if !f.acquire() {
 		return refuse("too many requests are being forwarded", time.Second)
@@ -90,8 +90,9 @@
 	return o
 }
 
-// sendTo sends r to one host. If a reused connection yields no frame at all and
-// the request may run twice, it sends r again on a new connection.
+// sendTo sends r to one host. If a reused connection yields no frame at all, sendTo
+// sends r again on a new connection, since only requests that may run twice use reused
+// connections.
 func (f *Forward) sendTo(ctx context.Context, m member.Member, r *request.Request, b *body, w http.ResponseWriter) outcome.Outcome {
 	s, e, ok := f.ReserveLink(m.Region, b.linkBytes(r))
 	if !ok {
@@ -124,8 +125,9 @@
 	f.active--
 }
 
-// mayTryNext reports whether another failure domain may run the request: it did
-// not run, and it was refused for a reason that is specific to the domain.
+// mayTryNext reports whether another failure domain may run the request. This requires
+// that the request did not run, and that the reason for its refusal is specific to the
+// domain that refused it.
 func mayTryNext(o outcome.Outcome) bool {
 	return o.Ran == outcome.RanNo && (o.Outcome == outcome.NoCapacity || o.Outcome == outcome.Leaving)
 }
@@ -155,8 +157,8 @@
 	return &body{unread: io.MultiReader(bytes.NewReader(b), r.Body), length: int64(len(b))}, nil
 }
 
-// isConsumed reports whether reading of an unbuffered body has begun, so that
-// it cannot be sent again.
+// isConsumed reports whether reading of an unbuffered body has begun, so that the body
+// cannot be sent again.
 func (b *body) isConsumed() bool {
 	return b.consumed
 }
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -206,7 +206,7 @@
 				get(s).cancel()
 			},
 			// arrived waits until a note is recorded. The body is sent concurrently
-			// with the wait for the answer, so the script cannot know which is first.
+			// with the wait for the answer, so the notes of both come in either order.
 			"arrived": func(s *testscript.TestScript, _ bool, a []string) {
 				for !strings.Contains(get(s).notes(), a[0]) {
 					<-time.After(time.Millisecond) //nolint:forbidigo // gives other goroutines time to run
--- a/healthcheck/healthcheck.go
+++ b/healthcheck/healthcheck.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Check probes a backend server once. If it has no health path, an open connection counts
-// as healthy.
+// Check probes a backend server once. A backend server without a health path counts as
+// healthy if a connection to it can be opened.
 func Check(ctx context.Context, b backend.Backend) health.Health {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", b.Address)
--- a/healthcheck/healthcheck_test.go
+++ b/healthcheck/healthcheck_test.go
@@ -16,9 +16,9 @@
 	"celeryreach.example/celeryreach/loadreport"
 )
 
-// Guards against a probe that confuses a backend server that is gone, one that is
-// unhealthy and one that drains, or that accepts an invalid load: the balancer acts
-// differently on each.
+// Guards against a probe that accepts an invalid load, or that confuses a backend
+// server that is gone, one that is unhealthy and one that drains: the balancer acts
+// differently on each of the three.
 func TestCheck(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
--- a/httplisten/guard.go
+++ b/httplisten/guard.go
@@ -22,7 +22,8 @@
 	generation int // incremented whenever the timer changes, so that a timer that fires late has no effect
 }
 
-// arm closes the connection after d unless it is armed again or disarmed before.
+// arm closes the connection after d unless the timeout is armed again or disarmed
+// before.
 func (g *connTimeout) arm(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/keepalive/keepalive.go
+++ b/keepalive/keepalive.go
@@ -32,8 +32,9 @@
 	received     bool
 }
 
-// StartWaiting records that the reader starts waiting for a message. Only this time
-// counts as silence: while the reader is busy, messages may have arrived.
+// StartWaiting records that the reader starts waiting for a message. Only the time for
+// which the reader waits counts as silence: while the reader is busy, messages may have
+// arrived that it has not read yet.
 func (p *Keepalive) StartWaiting() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +84,8 @@
 		case <-ctx.Done():
 			return
 		case <-due:
-			// The reader receives an error of the stream as well.
+			// The error is ignored because the reader receives an error of the stream
+			// as well.
 			_ = p.Send()
 		}
 	}
--- a/keepalive/keepalive_test.go
+++ b/keepalive/keepalive_test.go
@@ -9,10 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// A stream goes silent while a caller waits on it. The other end must count as
-// lost after MaxFirstSilence, or after MaxSilence once a message was received.
-// Each message restarts this time, and it does not run while the reader is
-// busy.
+// A stream goes silent while a caller waits on it. The other end must count as lost
+// after MaxFirstSilence, or after MaxSilence once a message was received. Each message
+// restarts the period of silence, and the period does not run while the reader is busy.
 func TestSilence(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	p := &Keepalive{Clock: c, MaxFirstSilence: time.Second, MaxSilence: 3 * time.Second}
--- a/loadreport/loadreport.go
+++ b/loadreport/loadreport.go
@@ -10,8 +10,8 @@
 
 // Header fields of a load report. They are removed from the answers to callers.
 const (
-	// LoadHeader is the fraction of the backend server's capacity in use, 1 if
-	// it is full.
+	// LoadHeader is the fraction of the backend server's capacity in use; 1 means
+	// that the backend server is full.
 	LoadHeader = "X-Backend-Load"
 	// DrainingHeader is present if the backend server wants no new requests.
 	DrainingHeader = "X-Backend-Draining"
--- a/logsink/logsink.go
+++ b/logsink/logsink.go
@@ -14,8 +14,8 @@
 const (
 	// bufferedLines is how many lines are queued for a slow reader.
 	bufferedLines = 2048
-	// maxLinesPerSecond bounds the cost of logging: at 5 µs a line (go test -bench Line
-	// ./logsink) it takes 0.13% of a core.
+	// maxLinesPerSecond bounds the cost of logging: 250 lines at 5 µs each (go test
+	// -bench Line ./logsink) take 0.13% of a core.
 	maxLinesPerSecond = 250
 )
 
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome describes how a request ended that has no response from a backend
-// server.
+// Package outcome describes how a request without a response from a backend server
+// ended.
 package outcome
 
 import "time"
@@ -55,11 +55,11 @@
 	// AnswerNotKept is a repetition of a request that ran and whose response was too
 	// large to be stored.
 	AnswerNotKept = "AnswerNotKept"
-	// TicketElsewhere is a request with a ticket of another host, which alone may run
-	// it.
+	// TicketElsewhere is a request with a ticket of another host. Only that host may
+	// run the request.
 	TicketElsewhere = "TicketElsewhere"
-	// TooLarge is a request with an id whose body is too large to be compared with
-	// that of a repetition.
+	// TooLarge is a request with an id whose body is too large to be compared with the
+	// body of a repetition.
 	TooLarge = "TooLarge"
 	// HeaderTooLarge is a request whose header exceeds the configured limit.
 	HeaderTooLarge = "HeaderTooLarge"
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -1,6 +1,6 @@
 // Package outlier ejects backend servers temporarily when their requests fail. The
-// fraction that is ejected at a time is bounded: when most fail, the cause is
-// elsewhere, and the rest couldn't carry the load.
+// fraction of backend servers that is ejected at a time is bounded: when most of them
+// fail, the cause is elsewhere, and the remaining ones couldn't carry the load.
 package outlier
 
 import "time"
@@ -61,7 +61,8 @@
 	}
 	s.ejectedUntil = now.Add(o.Ejection << min(s.ejections, maxDoublings))
 	s.ejections++
-	// After the ejection, fewer failures in a row are enough to eject it again.
+	// After the ejection, fewer failures in a row are enough to eject the backend
+	// server again.
 	s.consecutiveFailures = o.MaxConsecutive / 2
 	s.failureRatio = 0
 	return s.ejectedUntil, true
--- a/peerclient/peerclient.go
+++ b/peerclient/peerclient.go
@@ -23,7 +23,7 @@
 	conns map[string]*drpcconn.Conn
 }
 
-// Beat sends a heartbeat and returns the peer's.
+// Beat sends a heartbeat and returns the peer's heartbeat.
 func (p *Peerclient) Beat(ctx context.Context, address string, h *wire.Heartbeat) (*wire.Heartbeat, error) {
 	c, err := p.conn(ctx, address)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return r, errors.Wrap(err, "borrow")
 }
 
-// Lend transfers tokens to a peer. The tokens are lost if it returns an error.
+// Lend transfers tokens to a peer. The tokens are lost if Lend returns an error.
 func (p *Peerclient) Lend(ctx context.Context, address string, l *wire.Loan) error {
 	c, err := p.conn(ctx, address)
 	if err != nil {
@@ -140,7 +140,7 @@
 	return c, nil
 }
 
-// dropOnError closes and forgets a connection whose call failed.
+// dropOnError closes a connection whose call failed and removes it from conns.
 func (p *Peerclient) dropOnError(address string, c *drpcconn.Conn, err error) {
 	if err == nil {
 		return
--- a/receive/body.go
+++ b/receive/body.go
@@ -79,8 +79,9 @@
 	return n, nil
 }
 
-// endError returns the error that ended the stream, if there is one, instead of
-// the cancellation that it causes.
+// endError returns the error that ended the stream, if there is one, and otherwise the
+// error of the context. The error of the stream takes precedence because it causes the
+// cancellation of the context.
 func (b *body) endError() error {
 	select {
 	case err := <-b.ended:
--- a/responsecopier/responsecopier.go
+++ b/responsecopier/responsecopier.go
@@ -49,8 +49,8 @@
 	AllowUndelimited bool
 }
 
-// Copy writes response p to w. It calls free once, when the backend server will send
-// no more of p; for buffered responses that is before the caller reads.
+// Copy writes response p to w. It calls free once, when the backend server will send no
+// more of p. For a buffered response, free is called before the caller reads any of it.
 func (o *Responsecopier) Copy(w http.ResponseWriter, p *http.Response, free func(error)) error {
 	defer p.Body.Close()
 	if !o.AllowUndelimited && !delimited(p) {
@@ -94,7 +94,8 @@
 	writeHeader(w, p.StatusCode, p.Header, p.ContentLength)
 	r := make([]byte, streamBufferBytes)
 	for {
-		// Not every writer supports deadlines; streams between hosts do not.
+		// Not every writer supports deadlines; the writer for a stream between hosts
+		// does not.
 		_ = c.SetWriteDeadline(o.Clock.Now().Add(o.WriteTimeout))
 		if _, err := w.Write(b); err != nil {
 			return errors.Wrap(ErrCaller, err.Error())
--- a/retrybudget/retrybudget.go
+++ b/retrybudget/retrybudget.go
@@ -10,8 +10,9 @@
 	defaultMaxRetries = 20
 )
 
-// Retrybudget counts the attempts for each service. Without it, an overloaded backend
-// server would receive every request twice at the time when it can handle that least.
+// Retrybudget counts the attempts for each service. Without this budget, an overloaded
+// backend server would receive every request twice, when it can least handle the
+// additional load.
 type Retrybudget struct {
 	// Ratio returns the maximum ratio of second attempts to first attempts.
 	Ratio func() float64
--- a/sealableconn/sealableconn.go
+++ b/sealableconn/sealableconn.go
@@ -9,10 +9,10 @@
 	"github.com/pkg/errors"
 )
 
-// Sealableconn is a connection that records whether it was written to since StartRequest. A
-// failed request alone proves nothing, because net/http may still be writing it
-// in another goroutine when it returns the error. Seal rules this out: after
-// Seal, no write can reach the connection.
+// Sealableconn is a connection that records whether it was written to since
+// StartRequest. A failed request alone does not prove that nothing was written, because
+// net/http may still be writing the request in another goroutine when it returns the
+// error. Seal rules this out: after Seal, no write can reach the connection.
 type Sealableconn struct {
 	net.Conn
 
--- a/sendgate/sendgate.go
+++ b/sendgate/sendgate.go
@@ -9,11 +9,11 @@
 	refused
 )
 
-// Sendgate is the single state that determines whether a request is reported as
-// sent or as "not run". With two separate flags, the caller could be told "not
-// run" while the request is being sent. Here one side always wins, and the
-// other side is informed. A nil Sendgate lets every request be sent and none be
-// refused.
+// Sendgate is the single state that determines whether a request is reported as sent or
+// as "not run". With two separate flags, the caller could receive "not run" while the
+// request is being sent. With a single state, only one of Send and Refuse can succeed
+// at a time, and the other returns false. A nil Sendgate lets every request be sent and
+// none be refused.
 type Sendgate struct {
 	mu            sync.Mutex
 	state         int
--- a/streampool/streampool.go
+++ b/streampool/streampool.go
@@ -29,7 +29,7 @@
 	// Dial opens a connection.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// Idle is how long a connection is kept after a complete response. After a longer
-	// time nothing proves that it still works.
+	// time nothing proves that the connection still works.
 	Idle time.Duration
 	// PerAddress limits the idle connections that are kept for an address.
 	PerAddress int
@@ -88,7 +88,7 @@
 	p.idle = nil
 }
 
-// dial opens a connection unless MaxDials connections are being opened.
+// dial opens a connection unless MaxDials connections are already being opened.
 func (p *Streampool) dial(ctx context.Context, address string) (*drpcconn.Conn, error) {
 	p.mu.Lock()
 	if p.dialing >= p.MaxDials {
@@ -107,9 +107,9 @@
 	return drpcconn.New(n), nil
 }
 
-// takeIdle returns the most recently used connection to an address. If that one is
-// closed or idle for too long, it closes all idle connections to the address and
-// returns nil.
+// takeIdle returns the most recently used connection to an address. If that connection
+// is closed or has been idle for too long, takeIdle closes all idle connections to the
+// address and returns nil.
 func (p *Streampool) takeIdle(address string) *drpcconn.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,8 +157,8 @@
 	p.idle[address] = append(l, idleConn{conn: c, since: p.Clock.Now()})
 }
 
-// readEnd reads to the end of the stream, which directly follows its last frame, and
-// reports whether the stream ended properly.
+// readEnd reads until the stream ends and reports whether the stream ended properly.
+// The end directly follows the last frame of the stream.
 func (p *Streampool) readEnd(s wire.DRPCPeer_ForwardClient) bool {
 	for {
 		m, err := s.Recv()
--- a/streampool/streampool_test.go
+++ b/streampool/streampool_test.go
@@ -107,8 +107,8 @@
 	done(false)
 }
 
-// Dials to a region that has gone silent block. They must not accumulate: one more
-// than allowed fails at once, before any part of its request is sent.
+// Dials to a region that has gone silent block. Such dials must not accumulate: a dial
+// in excess of MaxDials fails at once, before any part of its request is sent.
 func TestBoundedDials(t *testing.T) {
 	r := newFixture(t)
 	dialStarted := make(chan struct{})
--- a/upstream/body.go
+++ b/upstream/body.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// body hides the type of the caller's body from net/http, which by itself repeats a
-// request that has no body or one that can be read again.
+// body hides the type of the caller's body from net/http. Otherwise net/http would by
+// itself repeat requests that have no body and requests whose body it can read again.
 type body struct {
 	reader      io.Reader
 	readStarted *atomic.Bool
@@ -34,9 +34,9 @@
 	return nil
 }
 
-// claim marks the caller's body as read and reports whether this request may still
-// read it. It shares a lock with seal, so that a transport that is still shutting down
-// cannot take bytes from the next attempt.
+// claim marks the caller's body as read and reports whether this request may still read
+// it. claim and seal use the same lock, so that a transport that is still shutting down
+// cannot read bytes that the next attempt has to send.
 func (b *body) claim() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/upstream/connections.go
+++ b/upstream/connections.go
@@ -6,8 +6,9 @@
 	"celeryreach.example/celeryreach/sealableconn"
 )
 
-// connTracker tracks the connections on which net/http sends a request: net/http by
-// itself repeats an idempotent request when a reused connection breaks.
+// connTracker tracks the connections on which net/http sends a request. There can be
+// more than one, because net/http by itself repeats an idempotent request when a reused
+// connection breaks.
 type connTracker struct {
 	onTransportRetry func() // called for each connection after the first one
 	current          *sealableconn.Sealableconn
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -55,8 +55,8 @@
 	// those of the caller; left is the time until the deadline. Nil sets IDHeader and
 	// TimeoutHeader.
 	SetHeaders func(h http.Header, r *request.Request, b backend.Backend, left time.Duration)
-	// CheckResponse checks a response. It returns ErrNotRun, or the reason why the
-	// response cannot be passed on. Nil applies the rules of this package.
+	// CheckResponse checks a response. It returns an error if the response cannot be
+	// passed on: ErrNotRun or another reason. Nil applies the rules of this package.
 	CheckResponse func(p *http.Response, r *request.Request, b backend.Backend) (ran bool, err error)
 	// ReuseForNonIdempotent allows kept-alive connections for non-idempotent requests
 	// too.
@@ -81,8 +81,8 @@
 }
 
 // New returns an Upstream that reuses idle connections for idempotent requests only.
-// An idle connection may have gone silent, and net/http by itself repeats requests on
-// reused connections.
+// Other requests use a new connection, because an idle connection may have gone silent
+// and net/http by itself repeats requests on reused connections.
 func New(c clockwork.Clock, dial time.Duration) *Upstream {
 	u := &Upstream{Clock: c, DialTimeout: dial, echoesID: make(map[string]bool)}
 	u.keepAlive.DialContext = u.dial
@@ -97,10 +97,10 @@
 	return u
 }
 
-// Send sends r to b, on a new connection if fresh is set or if r is not idempotent and
-// ReuseForNonIdempotent is not set. Ran is false only if it is proven that b did not
-// run r: either no byte was written and none can be written later, or b itself reports
-// it.
+// Send sends r to b. It opens a new connection if fresh is set, and also if r is not
+// idempotent and ReuseForNonIdempotent is not set. Ran is false only if it is proven
+// that b did not run r: either no byte was written and none can be written later, or b
+// itself reports that it did not run r.
 func (u *Upstream) Send(ctx context.Context, r *request.Request, b backend.Backend, fresh bool) (p *http.Response, ran bool, err error) {
 	c := &connTracker{onTransportRetry: func() {
 		if u.OnTransportRetry != nil {
@@ -179,8 +179,8 @@
 }
 
 // checkEcho verifies that a response belongs to its request. A backend server that has
-// echoed ids before must continue to do so; one that never has is trusted, since some
-// cannot.
+// echoed an id before must continue to echo ids. A backend server that has never echoed
+// an id is trusted, since some backend servers cannot echo ids.
 func (u *Upstream) checkEcho(p *http.Response, r *request.Request, b backend.Backend) (ran bool, err error) {
 	v := p.Header.Get(IDHeader)
 	u.mu.Lock()
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -20,8 +20,9 @@
 )
 
 // server answers the given number of requests on each connection and closes the
-// connection after it has read the next one. This reproduces a backend server that
-// restarts after it has run a request: its client cannot know whether the request ran.
+// connection after it has read the next request. This reproduces a backend server that
+// restarts after it has run a request: its client cannot determine whether the request
+// ran.
 type server struct {
 	listener net.Listener
 	runs     atomic.Int64
