--- a/backendsimulation/backendsimulation.go
+++ b/backendsimulation/backendsimulation.go
@@ -25,8 +25,8 @@
 	slotsPerBackend = 4
 	meanWork        = 20 * time.Millisecond
 	offeredLoad     = 0.6
-	// faultStart is when the fault begins, and recoveryTime how long afterwards
-	// the system should have handled it.
+	// faultStart is when the fault begins. Within recoveryTime after that, the
+	// system should have handled the fault.
 	faultStart    = 5 * time.Second
 	recoveryTime  = 2 * time.Second
 	maxWait       = time.Second
--- a/borrower/borrower.go
+++ b/borrower/borrower.go
@@ -19,9 +19,9 @@
 	// queueSize is the maximum number of queued requests, and of queued loans. A
 	// request that does not fit is dropped, and later callers cause a new one.
 	queueSize = 64
-	// workers is the number of requests and loans that are processed concurrently. A
-	// host in another region answers after 110 ms, and requests of other accounts wait
-	// for tokens for at most about 50 ms.
+	// workers is the number of requests and loans that are processed concurrently.
+	// Several run at a time, because a host in another region answers after 110 ms,
+	// while requests of other accounts wait for tokens for at most about 50 ms.
 	workers = 8
 	// callTimeout bounds one call to another host. It is a few times the round-trip
 	// time to the farthest region. Tokens that arrive later are lost.
@@ -74,9 +74,9 @@
 	return &Borrower{requests: make(chan tokenRequest, queueSize), loans: make(chan loan, queueSize)}
 }
 
-// Request queues a request for tokens of a limit, to be met by hosts among holders.
-// Callers wait for urgent of the units. It never blocks, and returns false if the queue
-// is full.
+// Request queues a request for units tokens of a limit, which are borrowed from the
+// hosts in holders. Callers wait for urgent of these tokens. Request never blocks, and
+// returns false if the queue is full.
 func (b *Borrower) Request(limit string, units, urgent int64, holders []string) bool {
 	select {
 	case b.requests <- tokenRequest{limit: limit, units: units, urgent: urgent, holders: holders}:
@@ -168,7 +168,8 @@
 }
 
 // selectLenders returns the hosts to ask: first two of this host's region, then those
-// of other regions, then the rest, each group in random order.
+// of other regions, then the remaining ones of this host's region, each group in random
+// order.
 func (b *Borrower) selectLenders(holders []string) []member.Member {
 	var near, far []member.Member
 	for _, m := range b.Hosts() {
--- a/bucket/bucket.go
+++ b/bucket/bucket.go
@@ -44,8 +44,8 @@
 	b.tokens = min(b.tokens, b.burst)
 }
 
-// AddAccrued adds the tokens that rate makes in d. Owners whose rate changed at times
-// that only they know call it in place of Refill.
+// AddAccrued adds the tokens that rate makes in d. An owner that itself tracks when its
+// rate changed calls AddAccrued instead of Refill.
 func (b *Bucket) AddAccrued(rate float64, d time.Duration) {
 	if d <= 0 || rate <= 0 {
 		return
--- a/commitbatch/commitbatch.go
+++ b/commitbatch/commitbatch.go
@@ -14,8 +14,8 @@
 )
 
 // Commitbatch batches the writes of a host that arrive close together. The platform
-// accepts a few hundred commits per second from all hosts in total, regardless
-// of the number of rows in each. One commit per request would exceed that.
+// accepts a few hundred commits per second from all hosts in total, regardless of the
+// number of rows in each. One commit per request would exceed that rate.
 type Commitbatch struct {
 	// Clock paces the commits.
 	Clock clockwork.Clock
@@ -72,7 +72,8 @@
 			t = n
 		}
 		g.lastStart = t
-		// The context of the first writer may end; the others still need the commit.
+		// The context of the first writer may end while the other writers still need
+		// the commit.
 		go g.run(context.WithoutCancel(ctx), b, t.Sub(n))
 	}
 	b.commit.Expect = append(b.commit.Expect, row.Row{Key: r.Key, Version: r.Version})
--- a/commitbatch/commitbatch_test.go
+++ b/commitbatch/commitbatch_test.go
@@ -15,8 +15,9 @@
 )
 
 // TestWritesShareCommits checks that a hundred simultaneous writes need three
-// commits. The first write is committed alone, and the others wait for the gap
-// and share two commits, because the first of these reaches the row limit.
+// commits. The first write is committed alone, and the other writes wait until
+// MinInterval has passed. They share two commits, because the first of the two
+// reaches the row limit.
 func TestWritesShareCommits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := make(chan int, 100)
--- a/dedup/dedup.go
+++ b/dedup/dedup.go
@@ -35,9 +35,9 @@
 	end   func(account, id string, r record.Record)
 }
 
-// Dedup runs on the entry host, before the request is sent to its own failure
-// domain or another one. One attempt therefore covers both, and the host that
-// the caller is connected to owns the record.
+// Dedup runs on the entry host, before the request is sent to the host's own
+// failure domain or to another one. One attempt therefore covers both cases,
+// and the host that the caller is connected to owns the record.
 type Dedup struct {
 	// Begin and End record caller-chosen ids in the store.
 	Begin func(ctx context.Context, account, id, attempt, digest string) (record.Record, outcome.Outcome)
@@ -69,7 +69,7 @@
 
 // run makes the attempt. A caller that disconnects before the request is sent
 // cancels it. After that point the request continues, because the caller will
-// repeat it to get the outcome, and a canceled request has none.
+// repeat it to get the outcome, and a canceled request has no outcome.
 func (l attemptStore) run(ctx context.Context, r *request.Request, w http.ResponseWriter, c record.Record, run func(context.Context, *request.Request, http.ResponseWriter) outcome.Outcome) outcome.Outcome {
 	r.SendGate = new(sendgate.Sendgate)
 	x, a := context.WithCancel(context.WithoutCancel(ctx))
--- a/demand/demand.go
+++ b/demand/demand.go
@@ -39,8 +39,8 @@
 	d.reports[host] = report{at: d.Clock.Now(), rates: rates}
 }
 
-// Fractions returns the fraction of the rate of each account that each host
-// requests, by limit and host name.
+// Fractions returns, by limit and host name, how much each host requests of
+// each account's rate, as a fraction of that rate.
 func (d *Demand) Fractions() map[string]map[string]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/division/division.go
+++ b/division/division.go
@@ -38,7 +38,7 @@
 	Parts map[string]map[string]limitpart.Limitpart
 	// FloorSpans are the floors of each failure domain, the same for every rate.
 	FloorSpans map[string][]span.Span
-	// LeasedSpans is the leased remainder of every rate.
+	// LeasedSpans is the rest of every rate, which is leased to holders.
 	LeasedSpans []span.Span
 	// Floors are the failure domains that have a floor: a part of each limit
 	// that is permanently theirs.
@@ -115,8 +115,8 @@
 }
 
 // score is the rendezvous hashing weight of a host for a limit. The combined
-// hash is mixed again, since a plain combination of the two hashes would order
-// the hosts alike for many limits.
+// hash is mixed again, since a plain combination of the two hashes would rank
+// the hosts in the same order for many limits.
 func score(limit, name string) uint64 {
 	x := xxhash.Sum64String(limit) ^ xxhash.Sum64String(name)
 	x ^= x >> 33
@@ -136,16 +136,17 @@
 	return find(d.Holders, h)
 }
 
-// UseQuorum is how many of the holders must confirm the epoch for one of them
-// to use it, the user included. It is at least two: a single holder has no
-// other process to confirm its epoch and depends on reading the table.
+// UseQuorum is how many holders must confirm the epoch before a holder may use
+// its leased parts. The holder itself counts as one of them. The quorum is at
+// least two: a single holder has no other process to confirm its epoch and
+// depends on reading the table.
 func (d *Division) UseQuorum() int {
 	return max(len(d.Holders)/2+1, 2)
 }
 
-// ReleaseQuorum is how many of the holders must have moved to a later epoch for
-// Hold before all use of this epoch has ended. Any set of UseQuorum holders
-// contains at least one of them.
+// ReleaseQuorum is how many holders must have been in a later epoch for Hold
+// before all use of this epoch has ended. Any set of UseQuorum holders then
+// contains at least one holder that has left this epoch.
 func (d *Division) ReleaseQuorum() int {
 	return max(len(d.Holders)-d.UseQuorum()+1, 0)
 }
--- a/duplicate/duplicate.go
+++ b/duplicate/duplicate.go
@@ -14,8 +14,9 @@
 const runningRetryAfter = time.Second
 
 // Outcome returns the outcome of a request with the given digest that finds
-// record v. Runs is true if the attempt of the record may still end. If the
-// outcome is Answered, the answer in the record is to be replayed.
+// record v. Runs is true if the process that owns the record may still be
+// running the attempt. If the outcome is Answered, the answer in the record is
+// to be replayed.
 func Outcome(v record.Record, digest string, runs bool) outcome.Outcome {
 	switch {
 	case v.Digest != digest:
--- a/expiry/expiry.go
+++ b/expiry/expiry.go
@@ -23,7 +23,7 @@
 	bucketSpan = time.Minute
 	layout     = "200601021504"
 	// maxBacklog is how far back a new sweeper looks for records that a failed
-	// one left.
+	// sweeper left.
 	maxBacklog = 6 * time.Hour
 	// scanPause limits the read rate on the store while a backlog is swept.
 	scanPause        = 50 * time.Millisecond
@@ -31,9 +31,10 @@
 )
 
 // Expiry removes records after Retention. Until then a repeated request gets
-// the recorded answer. Later its id counts as new, so callers must not repeat a
-// request after Retention. Keeping records without limit would fill the
-// platform's table: 300 enrolments per second are 26 million rows a day.
+// the recorded answer. After it, the id of the request counts as new, so
+// callers must not repeat a request after Retention. Keeping records without
+// limit would fill the platform's table: 300 enrolments per second are 26
+// million rows a day.
 type Expiry struct {
 	// Clock provides the wall-clock time.
 	Clock clockwork.Clock
--- a/grant/grant.go
+++ b/grant/grant.go
@@ -21,9 +21,9 @@
 	// LeasedUntil is when the leased fraction stops being usable, unless it is
 	// renewed.
 	LeasedUntil time.Time
-	// Unassigned is true if the current division does not contain this process, or
-	// none is known yet. Requests then wait for a short time instead of being
-	// refused.
+	// Unassigned is true if the current division does not contain this process, or if
+	// the process has received no division yet. Requests then wait for a short time
+	// instead of being refused.
 	Unassigned bool
 	// FirstUse is true if no host used the limit before this grant, so that its
 	// bucket may start full.
--- a/idempotency/idempotency.go
+++ b/idempotency/idempotency.go
@@ -47,7 +47,8 @@
 	Incarnation uint64
 	// IsAlive reports whether the process that owns a record is still running.
 	IsAlive func(host string, incarnation uint64) bool
-	// Timeout bounds the wait for the store. After it the request is refused.
+	// Timeout bounds the wait for the store. A request that has waited for this
+	// time is refused.
 	Timeout time.Duration
 	// IndexRows returns additional rows that Begin writes with the record, so that
 	// expiry can find it; nil means none.
@@ -225,11 +226,11 @@
 	return v, i.outcomeFor(v, a.digest)
 }
 
-// refuseUnwritten refuses a request whose record could not be written for certain. The
-// outcome "not run" is correct, because only a granted attempt is sent. The
-// insert may still take effect later. Run then voids it, and this process
-// treats the attempt as given up, so that it blocks the id no longer than the
-// store is unavailable.
+// refuseUnwritten refuses a request if it is uncertain whether its record was written.
+// The outcome "not run" is correct, because a request is sent only after its attempt
+// was permitted to run. The insert may still take effect later. Run then voids it, and
+// this process treats the attempt as given up, so that the attempt blocks the id no
+// longer than the store is unavailable.
 func (i *Idempotency) refuseUnwritten(ctx context.Context, a *attempt) (record.Record, outcome.Outcome) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -258,9 +259,10 @@
 	return duplicate.Outcome(v, digest, i.ownerAlive(v))
 }
 
-// ownerAlive reports whether the owner of a record may still end it. This
-// process serves its own attempts from memory, so a row of this host that is
-// not in memory belongs to an attempt that has already ended.
+// ownerAlive reports whether the process that owns a record may still be
+// running the attempt. This process serves its own attempts from memory, so a
+// row of this host that is not in memory belongs to an attempt that has already
+// ended.
 func (i *Idempotency) ownerAlive(v record.Record) bool {
 	if v.Host == i.Host {
 		return false
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -24,9 +24,9 @@
 // lost responses do not cost the lease.
 const renewalsPerTerm = 4
 
-// Lease is the lease named by one row. Held only hints at whether to work.
-// Writes are made safe by Fence, since a holder can be paused between Held and
-// the write.
+// Lease is the lease named by one row. Held is only a hint for whether this
+// host should work. Writes are safe only with Fence, since a holder can be
+// paused between Held and the write.
 type Lease struct {
 	// Clock is the monotonic clock of the host.
 	Clock clockwork.Clock
@@ -141,13 +141,14 @@
 		return o, false, errors.Wrap(err, "decode lease row")
 	}
 	if o.Holder == l.Holder {
-		// It is safe to renew the own claim at any time: no other host has
-		// written since, and the commit expects exactly that.
+		// This host may renew its own claim at any time: the row shows that no
+		// other host has written since, and the commit fails if another host
+		// has written in the meantime.
 		return claim{Holder: l.Holder, Epoch: o.Epoch, Term: l.Term, Renewal: o.Renewal + 1}, true, nil
 	}
 	// The holder counts the term from before its commit, and this host counts
-	// from when it observed the row. The margin covers clocks of different
-	// speed.
+	// the term from when it first read this version of the row. The margin
+	// covers clocks of different speed.
 	if n.Sub(l.observedAt) < o.Term+o.Term/driftDivisor {
 		return o, false, nil
 	}
--- a/loan/loan.go
+++ b/loan/loan.go
@@ -19,8 +19,9 @@
 const MaxLenders = 3
 
 const (
-	// maxConcurrent is the number of borrow requests in progress, and of those queued.
-	// Beyond it, requests wait for the refill of their own bucket.
+	// maxConcurrent is the maximum number of borrow requests in progress, and also the
+	// maximum number queued. If the queue is full, callers wait for the refill of their
+	// own bucket.
 	maxConcurrent = 16
 	// marginDivisor gives the margin by which a loan is shortened, 1/marginDivisor of
 	// its duration, since clocks run at different speeds.
@@ -44,8 +45,8 @@
 	Lenders func(account string) []string
 	// Send sends a borrow request to another host.
 	Send func(ctx context.Context, address string, b *wire.BorrowRequest) (*wire.BorrowResponse, error)
-	// OnReceived ends a borrow request. It takes the borrowed tokens, possibly none,
-	// which expire at until by Clock.
+	// OnReceived is called at the end of a borrow request, with the number of tokens
+	// borrowed, possibly zero. The tokens expire at until by Clock.
 	OnReceived func(account string, asked, units uint64, until time.Time)
 
 	requests chan request
--- a/placementsimulation/placementsimulation.go
+++ b/placementsimulation/placementsimulation.go
@@ -1,6 +1,6 @@
 // Package placementsimulation simulates backend servers that are faster on cached
-// objects, under loads at which this decides whether answers are in time. It compares
-// placement policies on the same arrivals.
+// objects, under loads at which caching decides whether answers are in time. It
+// compares placement policies on the same arrivals.
 package placementsimulation
 
 import (
--- a/placementsimulation/placementsimulation_test.go
+++ b/placementsimulation/placementsimulation_test.go
@@ -16,9 +16,9 @@
 	fault, baseline string
 	gain            float64
 }{
-	// Five of twelve backend servers go down. Requests that are sent to any of the
-	// others find their objects uncached, need three times the work, and keep all
-	// backend servers full as long as the load lasts.
+	// Five of twelve backend servers go down. Requests that are sent to an arbitrary
+	// one of the remaining seven find their objects uncached and need three times the
+	// work. They keep all backend servers full as long as the load lasts.
 	{placementsimulation.Lost, placementsimulation.Anywhere, 0.25},
 	{placementsimulation.Lost, placementsimulation.Random, 0.25},
 	{placementsimulation.Lost, placementsimulation.Affinity, 0.30},
@@ -48,11 +48,12 @@
 	}
 }
 
-// Requests for an object arrive at the hosts of one region, so that each host knows where
-// most of its objects are cached. Five of twelve backend servers are down from the start or
-// go down later, which leaves few free slots in which to cache objects. Queueing for the
-// backend server that has the object cached, and not queueing for others, must be better
-// than taking the first free slot. When the arrivals double, the difference is small.
+// Requests for an object arrive at the hosts of one region, so that each host knows
+// where most of its objects are cached. Five of twelve backend servers are down from
+// the start or go down later, which leaves few free slots in which to cache objects. A
+// request that waits only for the backend server that has its object cached must fare
+// better than one that takes the first free slot. When the arrivals double, the
+// difference is small.
 func TestCachedObjectsFirst(t *testing.T) {
 	for _, x := range []struct {
 		fault string
@@ -74,11 +75,11 @@
 	return p.Timely(0, 20*time.Second)
 }
 
-// A large account with callers everywhere may be served in one region only and needs nine
-// tenths of its capacity once the account's objects are cached there; the other regions are
-// half idle. Requests of other accounts must leave the region to this one, or one in ten of
-// its answers is late permanently. Nine of ten answers must be in time, of the account and
-// of all requests.
+// A large account has callers in all regions but must be served in one region. It needs
+// nine tenths of that region's capacity once its objects are cached there; the other
+// regions are half idle. Requests of other accounts must go to the other regions.
+// Otherwise one in ten answers of the large account is late permanently. Nine of ten
+// answers must be in time, both for this account and for all requests together.
 func TestRestrictedAccountHasCapacity(t *testing.T) {
 	for _, s := range []uint64{0, 1, 2} {
 		p := &placementsimulation.Placementsimulation{
--- a/queuesimulation/queuesimulation.go
+++ b/queuesimulation/queuesimulation.go
@@ -44,7 +44,7 @@
 	// Fair selects package queue; false selects a single queue in order of
 	// arrival, as in the first version.
 	Fair bool
-	// NewestFirstAfter is the setting of the queue.
+	// NewestFirstAfter is the queue setting of the same name.
 	NewestFirstAfter time.Duration
 
 	timeline  *timeline.Timeline
--- a/queuesimulation/report.go
+++ b/queuesimulation/report.go
@@ -76,8 +76,9 @@
 		quantile(t.waits, 0.5), quantile(t.waits, 0.99), quantile(t.refusals, 0.5), quantile(t.refusals, 0.99))
 }
 
-// maxMinShares divides the answers that the slots can give max-min fairly
-// between the accounts, none of which gets more than its answerable callers.
+// maxMinShares divides the number of answers that the slots can give among the
+// accounts by max-min fairness. No account receives more answers than it has
+// answerable callers.
 func maxMinShares(t []accountStats, capacity float64) []float64 {
 	r := make([]float64, len(t))
 	var open []int
--- a/quota/entry.go
+++ b/quota/entry.go
@@ -14,10 +14,11 @@
 const unaffordableWait = time.Minute
 
 const (
-	// unknownGrantPoll is how often waiting requests check whether a host that
-	// is starting has a part.
+	// unknownGrantPoll is the interval at which requests that wait on a
+	// starting host check whether the host has received its part of the limit.
 	unknownGrantPoll = 50 * time.Millisecond
-	// maxUnknownGrantWaiters is how many requests may wait for that part.
+	// maxUnknownGrantWaiters is how many requests of an account may wait until
+	// a starting host has received its part.
 	maxUnknownGrantWaiters = 100
 )
 
@@ -27,9 +28,10 @@
 	bucket     bucket.Bucket
 	lastRefill time.Time
 	rate       float64 // the account's rate when last refilled
-	refillRate float64 // tokens per second that this host gets now
+	refillRate float64 // tokens per second from this host's part, as of the last refill
 	waiting    int
-	// grantUnknown is true while this host has no part yet but may get one soon.
+	// grantUnknown is true while this host has no part yet but may receive one
+	// soon.
 	grantUnknown bool
 	// offered counts requests, admitted or not, since the last call of Demands.
 	offered uint64
@@ -41,15 +43,15 @@
 	// requested is the number of tokens of loan requests that are not answered
 	// yet.
 	requested int
-	// noLenderUntil is the time until which no tokens are borrowed, since no
-	// other host had any.
+	// noLenderUntil is the time until which this host does not try to borrow,
+	// since no other host had tokens to lend.
 	noLenderUntil time.Time
 	// loans are the loans that this host has given.
 	loans []outgoingLoan
 }
 
-// outgoingLoan is the part of the bucket that stays unavailable until the borrower
-// can no longer spend its tokens.
+// outgoingLoan is a number of tokens lent to another host. Their place in the bucket
+// stays unavailable until the borrower can no longer spend them.
 type outgoingLoan struct {
 	units uint64
 	until time.Time
@@ -71,8 +73,8 @@
 	}
 }
 
-// take takes a token. A borrowed one is used first, since it cannot be kept for
-// later.
+// take takes a token. A borrowed token is used first, since it expires at
+// borrowedUntil.
 func (e *entry) take(now time.Time) bool {
 	if e.borrowed > 0 && now.Before(e.borrowedUntil) {
 		e.borrowed--
@@ -81,8 +83,9 @@
 	return e.bucket.TakeMany(1)
 }
 
-// expectedTokens returns how many tokens waiting requests will have in addition
-// to those of the bucket.
+// expectedTokens returns the number of tokens that are borrowed or requested
+// from other hosts. Waiting requests can use them in addition to the tokens in
+// the bucket.
 func (e *entry) expectedTokens(now time.Time) int {
 	if now.Before(e.borrowedUntil) {
 		return e.borrowed + e.requested
@@ -90,7 +93,8 @@
 	return e.requested
 }
 
-// pollDelay returns when a waiting request checks again for borrowed tokens.
+// pollDelay returns the delay after which a waiting request checks again for a
+// part or for borrowed tokens.
 func (e *entry) pollDelay(now time.Time) time.Duration {
 	if e.grantUnknown {
 		return unknownGrantPoll
@@ -101,7 +105,9 @@
 	return e.noLenderUntil.Sub(now) + borrowPollInterval
 }
 
-// timeUntilTokens returns the time until the bucket can have n tokens.
+// timeUntilTokens returns the time until the bucket has gained enough for n
+// tokens, at most unaffordableWait. It returns unaffordableWait also if the
+// bucket will never have enough.
 func (e *entry) timeUntilTokens(n float64) time.Duration {
 	w := n - e.bucket.Tokens()
 	if w <= 0 {
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -20,8 +20,8 @@
 	// tokens.
 	noLenderBackoff = 100 * time.Millisecond
 	// maxReserveFraction limits the tokens that a lender reserves for its own
-	// demand, as a fraction of its bucket. Up to this limit, it reserves the
-	// tokens that it needs for reserveSeconds.
+	// demand, as a fraction of its bucket. Up to this limit, a lender reserves
+	// the tokens that its own requests need in reserveSeconds.
 	maxReserveFraction = 0.25
 	reserveSeconds     = 0.2
 	// loanMarginDivisor sets the margin for clocks of different speed that the
@@ -29,11 +29,11 @@
 	loanMarginDivisor = 50
 )
 
-// Lend gives tokens to another host and returns how many and for how long. They
-// are deducted before the response is sent, and their place in the bucket stays
-// unavailable until the loan has ended. Otherwise lent and refilled tokens
-// together would exceed the burst. A loan ends before the lender's grant can
-// end.
+// Lend lends tokens to another host and returns their number and the duration
+// of the loan. The tokens are deducted before the response is sent, and their
+// place in the bucket stays unavailable until the loan has ended. Otherwise
+// lent and refilled tokens together would exceed the burst. A loan ends before
+// the lender's grant can end.
 func (q *Quota) Lend(name string, units uint64, d time.Duration) (uint64, time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -83,8 +83,8 @@
 }
 
 // Receive ends a loan request for asked tokens. Units is the number of tokens
-// lent, zero if no host lent any. Until is the end of the loan, counted from
-// before the request was sent.
+// lent, zero if no host lent any. Until is the end of the loan, whose duration
+// counts from a time before the request was sent.
 func (q *Quota) Receive(name string, asked, units uint64, until time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -104,7 +104,7 @@
 		e.borrowed = 0
 		e.borrowedUntil = until
 	}
-	// Only tokens for waiting requests are taken; the rest is lost.
+	// Only as many tokens are taken as requests wait; the rest are lost.
 	e.borrowed += min(int(units), e.waiting-e.borrowed)
 	if until.Before(e.borrowedUntil) {
 		e.borrowedUntil = until
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -13,17 +13,18 @@
 	"celeryreach.example/celeryreach/grant"
 )
 
-// driftDivisor is how much too fast the clock of a host may run, as a divisor.
-// Refills are slowed down by this much, so that hosts with fast clocks do not
-// exceed the rate together. Time services adjust clocks by 0.05% at most.
+// driftDivisor gives the tolerated drift: the clock of a host may run too fast
+// by 1/driftDivisor. Refills are slowed down by the same fraction, so that
+// hosts with fast clocks do not exceed the rate together. Time services adjust
+// clocks by 0.05% at most.
 const driftDivisor = 1000
 
-// syncBatchSize is how many buckets are refilled to the current time while
-// requests wait for the lock.
+// syncBatchSize is how many buckets are refilled to the current time before the
+// lock is released for waiting requests.
 const syncBatchSize = 256
 
 // maxRetryAfter bounds the retry delay that a refused caller receives. A host
-// whose part lapsed may have it again within seconds.
+// whose part has lapsed may hold the part again within seconds.
 const maxRetryAfter = 2 * time.Second
 
 // Quota holds this host's part of the limits of every account. It decides alone
@@ -35,7 +36,7 @@
 	Account func(name string) (account.Account, bool)
 	// Grant returns the part of the limit of an account that this host may use.
 	Grant func(name string) grant.Grant
-	// Hold is the age beyond which ConfirmToken takes another token.
+	// Hold is the age of a token at which ConfirmToken must take a new one.
 	Hold time.Duration
 	// Borrow requests tokens from other hosts and later calls Receive once, with
 	// or without tokens; nil means that no host lends. It must not block.
@@ -53,10 +54,11 @@
 	return ok
 }
 
-// Admit admits one request, waiting up to wait for a token. A part of a small
-// burst is soon empty on one host while the account in total is within its
-// limits. Admit returns the time of admission for ConfirmToken, or else the time
-// after which another attempt can succeed.
+// Admit admits one request, waiting up to wait for a token. Waiting helps
+// because one host's part of a small burst is soon used up, although the
+// account in total is within its limits. Admit returns the time of admission
+// for ConfirmToken or, if the request is refused, the time after which another
+// attempt can succeed.
 func (q *Quota) Admit(ctx context.Context, name string, wait time.Duration) (at time.Time, retry time.Duration, ok bool) {
 	d, ok := q.TryTake(name, false)
 	if ok {
@@ -84,9 +86,9 @@
 	}
 }
 
-// TryTake takes a token if there is one. Otherwise it returns the time after which
-// there may be one. Turn is true for a request that has waited since StartWaiting;
-// other requests are not admitted before those that wait.
+// TryTake takes a token if one is available. Otherwise it returns the time after which
+// a token may be available. Turn is true for a request that has waited since
+// StartWaiting; other requests are not admitted before those that wait.
 func (q *Quota) TryTake(name string, turn bool) (time.Duration, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -160,17 +162,17 @@
 	}
 }
 
-// RefillAll refills every bucket to the current time under the grants in force. It
-// is called right before the grants change, so that no bucket is refilled for a
-// time in which its grant was not valid. Requests are admitted between two
-// batches; they use the grants that are still in force too.
+// RefillAll refills every bucket to the current time under the grants in force. It is
+// called right before the grants change, so that no bucket is refilled for a time in
+// which its grant was not valid. Requests that are admitted between two batches also
+// use the grants that are still in force.
 func (q *Quota) RefillAll() {
 	for i := 0; q.syncFrom(i); i += syncBatchSize {
 	}
 }
 
-// syncFrom refills one batch of buckets and reports whether there may be
-// another.
+// syncFrom refills one batch of buckets and reports whether further buckets may
+// remain.
 func (q *Quota) syncFrom(i int) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -53,9 +53,10 @@
 	return n
 }
 
-// A part lapses and is valid again five seconds later. No request arrived in
-// between, so the bucket is refilled only afterwards. It must not gain tokens
-// for the lapse, since they belong to the host that held the part then.
+// A part lapses and is valid again five seconds later. No request arrives
+// during the lapse, so the bucket is refilled only afterwards. It must not gain
+// tokens for the time of the lapse, since these belong to the host that held
+// the part in that time.
 func TestNoRefillWhileLapsed(t *testing.T) {
 	b := newTestQuota()
 	must.Eq(t, 4, b.drain())
@@ -67,9 +68,9 @@
 	must.Eq(t, 0, b.drain())
 }
 
-// A request waits for a token that becomes available within its time. If that
-// is not possible, the request is refused at once with the time after which to
-// retry.
+// A request waits for a token that becomes available within its maximum wait.
+// If no token will be available in that time, the request is refused at once
+// with the time after which to retry.
 func TestAdmitWaits(t *testing.T) {
 	b := newTestQuota()
 	b.drain()
@@ -145,7 +146,7 @@
 }
 
 // The lender's part may end before the loan would. The borrower must not use
-// the tokens after that, when another host holds the part.
+// the tokens after the end of the part, when another host may hold the part.
 func TestLoanEndsWithPart(t *testing.T) {
 	b := newTestQuota()
 	b.grant.LeasedUntil = b.clock.Now().Add(100 * time.Millisecond)
--- a/quotaexperiment/divisionmethod.go
+++ b/quotaexperiment/divisionmethod.go
@@ -84,8 +84,8 @@
 }
 
 // takePart gives a host the part that corresponds to its weight, as far as the
-// rows of the others leave room. The weights are those of the generated load,
-// which is better than any measurement.
+// rows of the other hosts leave room. The weights are those of the generated
+// load, which is better than any measurement.
 func (f *baseline) takePart(place, host int, now time.Time) {
 	l := f.leases[host]
 	if l == nil || now.Sub(l.renewedAt) >= leaseTerm {
--- a/quotaexperiment/load.go
+++ b/quotaexperiment/load.go
@@ -38,7 +38,7 @@
 }
 
 // begin starts the callers. The first account offers factor times its rate if
-// that is above one.
+// factor is above one.
 func (p *trial) begin(factor float64) {
 	for _, o := range p.loads {
 		o.at, o.checkedAt = p.simulation.Now(), p.simulation.Now()
@@ -167,12 +167,13 @@
 	// messages and storeOperations are per second.
 	messages        float64
 	storeOperations float64
-	// due counts the requests that the exact buckets admit, and shortfall those
-	// by which the admitted requests of a window fall short of that.
+	// due counts the requests that the exact buckets admit. shortfall counts
+	// how many fewer requests were admitted, summed over the windows with
+	// fewer.
 	due       int
 	shortfall int
-	// faultMinuteDue and faultMinuteShortfall are the same for the minute after
-	// the fault.
+	// faultMinuteDue and faultMinuteShortfall are due and shortfall for the
+	// minute after the fault.
 	faultMinuteDue       int
 	faultMinuteShortfall int
 	// lowestServed is the fraction of its due requests that the worst-served
--- a/servicequeues/fleet_test.go
+++ b/servicequeues/fleet_test.go
@@ -29,7 +29,7 @@
 const forever = time.Hour
 
 // start runs a deployment with the failure domain n1 in region north and n2 in
-// the region second.
+// the region that the parameter second names.
 func start(t *testing.T, hosts, backends int, second string, work time.Duration, edits ...func(*config.Config)) (context.Context, *fleet.Fleet) {
 	t.Parallel()
 	timeout := 2 * time.Second
@@ -80,8 +80,9 @@
 	return n
 }
 
-// All callers use one of two hosts, which owns half of the slots. It borrows
-// from the other host, which keeps one slot for its own next caller.
+// All callers use the same one of two hosts, which owns half of the slots. This
+// host borrows from the other one, which keeps one slot for its own next
+// caller.
 func TestSiblingLends(t *testing.T) {
 	ctx, f := start(t, 2, 1, "south", 300*time.Millisecond)
 	must.NoError(t, f.Await(ctx, "the division", func() bool { return slots(ctx, f, "n1-a") == 2 && slots(ctx, f, "n1-b") == 2 }))
@@ -111,7 +112,7 @@
 }
 
 // The backend servers of a failure domain are gone. Its callers are answered by
-// those of another failure domain, through the same host.
+// the backend servers of another failure domain, through the same host.
 func TestForwarded(t *testing.T) {
 	ctx, f := start(t, 1, 1, "south", 0)
 	must.NoError(t, f.Await(ctx, "an answer", func() bool { return answer(ctx, f, "n1-a") == "Pages-n1-1" }))
@@ -143,9 +144,9 @@
 
 // A caller cancels a request that runs in another region: its slot there must
 // be free at once, not only at the request's deadline. Then the link is
-// partitioned during the next request. No error arrives, but both ends miss the
-// other's keep-alive messages, so the caller gets an answer and the slot is
-// freed.
+// partitioned during the next request. No connection error is reported, but
+// each end detects that the keep-alive messages of the other end are missing.
+// The caller therefore receives an answer and the slot is freed.
 func TestCancelAndLinkLoss(t *testing.T) {
 	ctx, f := start(t, 1, 1, "south", forever)
 	must.NoError(t, f.StopBackend("Pages-n1-1"))
--- a/servicequeues/servicequeues.go
+++ b/servicequeues/servicequeues.go
@@ -40,8 +40,8 @@
 	// AcquireBorrowed takes a slot of a service that another host of the failure domain
 	// lent until at least the given time; nil disables borrowing.
 	AcquireBorrowed func(service string, until time.Time) (slot.Slot, bool)
-	// OnDrained is called when a backend server has drained, with the first sign
-	// of the drain and its duration.
+	// OnDrained is called when a backend server has drained, with the first
+	// sign of the drain and the duration of the drain.
 	OnDrained func(name, sign string, d time.Duration)
 
 	sweptDomains atomic.Pointer[[]string]
@@ -106,7 +106,7 @@
 }
 
 // Lend closes a free slot of a service to lend it to another host of the
-// failure domain, unless own requests wait.
+// failure domain, unless requests of this host wait for the service.
 func (l *Servicequeues) Lend(service string, d time.Duration) (backend string, back func(), ok bool) {
 	n := l.serviceQueue(service)
 	if n.queue.Waiting() > 0 {
--- a/servicequeues/servicequeues_test.go
+++ b/servicequeues/servicequeues_test.go
@@ -39,9 +39,9 @@
 	return r
 }
 
-// A failure domain loses its only host, and its backend servers are idle. A
-// host of the region gets their slots and uses them, and stops when the failure
-// domain has a host again.
+// A failure domain loses its only host, and its backend servers are idle.
+// Another host of the region receives the slots of these backend servers, and
+// uses them until the failure domain has a host again.
 func TestTakeover(t *testing.T) {
 	r := newTestQueues()
 	x, f := context.WithCancel(t.Context())
--- a/slotloan/slotloan.go
+++ b/slotloan/slotloan.go
@@ -93,7 +93,8 @@
 		l.requestLoan(service, until)
 		return slot.Slot{}, false
 	}
-	// Outside the lock, because the balancer calls free under its own lock.
+	// BorrowedSlot is called without holding the lock of l, because the
+	// balancer calls free under its own lock.
 	s, ok := l.BorrowedSlot(service, v.backend, func() { l.releaseBorrowed(v) })
 	if !ok {
 		l.releaseBorrowed(v)
@@ -183,8 +184,8 @@
 	}
 }
 
-// usable returns the part of a loan of duration d in which the borrower may
-// start requests that end within it.
+// usable returns the part of a loan of duration d within which the deadlines of
+// the borrower's requests must lie.
 func (l *Slotloan) usable(d time.Duration) time.Duration {
 	return d - time.Duration(maxClockDrift*float64(d)) - stopTime
 }
@@ -229,8 +230,8 @@
 }
 
 // returnUnused returns the loans that have not been used for a while. They are
-// removed first, because the slot belongs to the lender again as soon as the
-// message may have arrived.
+// removed from the list before the return messages are sent, because a slot
+// belongs to the lender again as soon as its message may have arrived.
 func (l *Slotloan) returnUnused(ctx context.Context) {
 	for _, v := range l.removeUnused() {
 		x, f := clockwork.WithTimeout(ctx, l.Clock, requestTimeout)
--- a/slotloan/slotloan_test.go
+++ b/slotloan/slotloan_test.go
@@ -55,7 +55,8 @@
 	expired []slot.Slot
 }
 
-// run is a request on the backend server, which ends it at its deadline.
+// run is a request on the backend server. The backend server ends the request
+// at its deadline.
 type run struct {
 	host *host
 	slot slot.Slot
@@ -183,7 +184,8 @@
 		return
 	}
 	if x.draw(10) == 0 {
-		// Its connections break, so the backend server stops its requests.
+		// The connections of the failed host break, so the backend server stops
+		// the requests of this host.
 		h.dead = true
 		h.takeoverAt = x.elapsed + takeoverDelay
 		x.running = slices.DeleteFunc(x.running, func(r *run) bool { return r.host == h })
@@ -222,8 +224,8 @@
 
 // If two hosts use the same slot, a backend server with four slots gets a fifth
 // request and sheds it or slows down. Here hosts lend slots while messages,
-// responses and returns are lost or late, hosts pause with requests in flight,
-// fail and are taken over, and clocks differ by two percent.
+// responses and returns are lost or late. Hosts pause with requests in flight,
+// or fail and their slots are taken over. Their clocks differ by two percent.
 func TestNeverMoreThanSlots(t *testing.T) {
 	n := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/span/span.go
+++ b/span/span.go
@@ -53,7 +53,8 @@
 	return r
 }
 
-// Intersect returns what is in both a and b, each in ascending order.
+// Intersect returns the points that are in both a and b, whose spans are each
+// in ascending order.
 func Intersect(a, b []Span) []Span {
 	var r []Span
 	for i, j := 0, 0; i < len(a) && j < len(b); {
@@ -70,7 +71,8 @@
 	return r
 }
 
-// Subtract returns what is in a but not in b, each in ascending order.
+// Subtract returns the points that are in a but not in b, whose spans are each
+// in ascending order.
 func Subtract(a, b []Span) []Span {
 	r := a
 	for _, v := range b {
--- a/ticketstore/ticketstore.go
+++ b/ticketstore/ticketstore.go
@@ -205,9 +205,9 @@
 	}
 }
 
-// expire removes the claims on expired tickets. Their sequence numbers are
-// below expiredBelow, and such a ticket is never run, so removing its claim
-// cannot make it run twice.
+// expire removes the claims on expired tickets. A ticket with a sequence number
+// below expiredBelow is never run, so removing its claim cannot cause a second
+// run.
 func (t *Ticketstore) expire() {
 	n := t.Clock.Now()
 	if len(t.checkpoints) == 0 || n.Sub(t.checkpoints[len(t.checkpoints)-1].at) >= t.Lifetime/16 {
