--- a/backendlimit/observation_test.go
+++ b/backendlimit/observation_test.go
@@ -16,8 +16,8 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// A response that was in transit when a limit was set must not withdraw it, and one
-// that was sent after the end of the limit must.
+// A response that was in transit when a limit was set must not withdraw the limit. A
+// response that was sent after the end of the limit must withdraw it.
 func TestOverlappingResponses(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(0, 0).Add(time.Duration(s * float64(time.Second))) }
 	limited := observation{perSecond: 4, sent: at(1), received: at(2)}
@@ -81,8 +81,8 @@
 	must.EqOp(t, 0, f.hosts[0].Limited())
 }
 
-// A response without a limit to a request that was not served must not withdraw the
-// limit, and a restarted backend server of the same name must not keep it.
+// A response that has no limit header must not withdraw the limit if its request was not
+// served. After a restart, a backend server of the same name must not keep the limit.
 func TestFailureDoesNotWithdrawLimit(t *testing.T) {
 	f := newFleet(1, 1)
 	f.announce("0.5")
--- a/backendlimit/part_test.go
+++ b/backendlimit/part_test.go
@@ -56,7 +56,7 @@
 	f.clock.Advance(tick)
 }
 
-// sendAll lets a host send as many requests as it may.
+// sendAll lets a host send as many requests as its part of the limit allows.
 func (f *fleet) sendAll(h *Backendlimit) {
 	for h.Allow(f.backend) {
 		h.RecordSent(f.backend)
@@ -100,8 +100,9 @@
 	})
 }
 
-// Callers arrive at all hosts at once after a time without any. The hosts without a
-// share must not all use this moment as their turn to check whether the limit holds.
+// Callers arrive at all hosts at once after a time without any. The hosts without a share
+// take turns to check whether the limit still holds, and must not all do so at this
+// moment.
 func TestHostsWithoutShareTakeTurns(t *testing.T) {
 	for _, n := range []int{6, 12, 60} {
 		f := newFleet(n, 1)
--- a/blockfollower/blockfollower.go
+++ b/blockfollower/blockfollower.go
@@ -31,7 +31,8 @@
 // that starts needs all chunks.
 const fetchWorkers = 16
 
-// Blockfollower applies only higher versions, from the platform or from peers.
+// Blockfollower receives versions of the client blocks from the platform and
+// from peers, and applies only versions higher than the one in force.
 type Blockfollower struct {
 	// Clock paces the polling.
 	Clock clockwork.Clock
@@ -87,9 +88,9 @@
 }
 
 // apply fetches the chunks that changed and updates the table with their
-// differences. If a chunk cannot be fetched, the complete version is rejected
-// and retried after the next read or digest; look-ups continue with the
-// previous version.
+// differences. If a chunk cannot be fetched, no part of the version is applied,
+// and the host retries it after the next read of the store or the next digest
+// from a peer; look-ups continue with the previous version.
 func (f *Blockfollower) apply(_ uint64, _ string, content []byte) error {
 	h, err := blockchunk.ParseHashes(content)
 	if err != nil {
@@ -213,8 +214,8 @@
 	f.hashes = h
 }
 
-// chunkChanges returns the client blocks to put and to remove to get from chunk
-// a to chunk b.
+// chunkChanges returns the client blocks to put and to remove that turn chunk a
+// into chunk b.
 func chunkChanges(a, b []byte) (put []block.Block, remove []netip.Prefix, err error) {
 	x, err := blockchunk.Parse(a)
 	if err != nil {
--- a/blockpublish/blockpublish.go
+++ b/blockpublish/blockpublish.go
@@ -27,8 +27,8 @@
 }
 
 // Change puts some client blocks and removes others. Concurrent changes
-// conflict only if they name the same block, and then the later one wins: the
-// second change is applied again to the version that the first one published.
+// conflict only if they name the same block. Then the later change wins,
+// because it is applied again to the version that the earlier change published.
 func (p *Blockpublish) Change(ctx context.Context, put []block.Block, remove []netip.Prefix) (acceptedversion.Acceptedversion, error) {
 	u := &publish.Publish{Clock: p.Clock, Store: p.Store, Key: acceptedversion.BlocksKey}
 	for range maxAttempts {
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// loadChunk reads the client blocks of chunk i into t, unless they are there
-// already.
+// loadChunk reads the client blocks of chunk i into t, unless t already holds
+// them.
 func (p *Blockpublish) loadChunk(ctx context.Context, h []string, t map[int]map[netip.Prefix]string, i int) error {
 	if t[i] != nil {
 		return nil
--- a/blocktable/blocktable.go
+++ b/blocktable/blocktable.go
@@ -96,8 +96,9 @@
 	return nil
 }
 
-// regionIndex returns the index of a region's name, and the names including it.
-// Existing names keep their indexes, and their slice is never written to.
+// regionIndex returns the index of a region's name, and a slice of names that
+// includes it. Existing names keep their indexes, and a new name is added to a
+// copy, so that the slice that readers use is never written to.
 func regionIndex(names []string, region string) (uint8, []string, error) {
 	for i, n := range names {
 		if n == region {
--- a/edge/backend_test.go
+++ b/edge/backend_test.go
@@ -18,9 +18,9 @@
 	limitHeader   = "Takes-Per-Second"
 )
 
-// Bound on the requests that hosts may send to a backend server in a window:
-// limitOverage times what its limit allows, plus limitSlack. A host's requests count
-// from limitGracePeriod after it first relayed a response with a limit.
+// Bound on the requests that hosts may send to a backend server in a window: limitOverage
+// times the number that its limit allows, plus limitSlack. A host's requests count from
+// limitGracePeriod after it first relayed a response with a limit.
 const (
 	limitWindow      = 4 * time.Second
 	limitOverage     = 1.5
@@ -116,8 +116,8 @@
 }
 
 // excess describes the first window in which notified hosts sent more than the limits
-// allow, empty if there is none. Windows are checked from contact after the first
-// limit.
+// allow, empty if there is none. Windows that end less than the duration contact after
+// the first limit was set are not checked.
 func (s *server) excess(contact time.Duration) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,8 +142,8 @@
 	return ""
 }
 
-// coldExcess describes the first second in which the server received more requests than
-// a cold one may, empty if there is none.
+// coldExcess describes the first second in which the server received more requests than a
+// cold backend server is allowed to receive, empty if there is none.
 func (s *server) coldExcess() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -224,9 +224,10 @@
 }
 
 // setUp runs the commands at time zero, before the hosts start, and returns the
-// remaining ones. It adds these commands to those of runCommand:
+// remaining ones. The setup has these commands in addition to those of
+// runCommand:
 //
-//	contact DURATION            the bound of the same name
+//	contact DURATION            the RecoveryTime of the hosts; see edge.Edge
 //	way DURATION                one-way latency between regions
 //	host NAME DOMAIN REGION     a host; the store is located in the first one's region
 func (w *deployment) setUp(t *testing.T, l []line) []line {
@@ -318,9 +319,9 @@
 // revoked key.
 func TestKeyRevokedDuringStoreOutage(t *testing.T) { runShifted(t, "withdrawn-in-silence") }
 
-// Guards against hosts of distant regions that pass the age of the store's last
-// response on to each other so that it never grows, and no host detects that its calls
-// were lost.
+// Guards against hosts of distant regions that report the age of the store's last
+// response to each other in such a way that this age never grows. No host would then
+// detect that its calls were lost.
 func TestChangeBeforeShortStoreOutage(t *testing.T) { runShifted(t, "change-before-silence") }
 
 // Guards against all hosts calling a working store again after each change. This
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -261,8 +261,8 @@
 	}
 }
 
-// excess lists the backend servers that received more requests than their limit, or
-// than a cold one may.
+// excess lists the backend servers that received more requests than their limit allows,
+// or more than a cold backend server is allowed to receive.
 func (w *deployment) excess() string {
 	var l []string
 	for _, s := range w.servers {
@@ -321,9 +321,9 @@
 // Guards against unused capacity when all backend servers of a service have limits.
 func TestLimitsOnAllBackends(t *testing.T) { runSeeded(t, "limit-everywhere") }
 
-// Guards against full load on backend servers of an evacuated failure domain that turn
-// cold while no host receives responses from the store, also if the evacuation ends
-// before the store recovers.
+// Backend servers of an evacuated failure domain turn cold while no host receives
+// responses from the store. Guards against hosts that then send full load to these
+// backend servers, also if the evacuation ends before the store recovers.
 func TestColdBackendsDuringStoreOutage(t *testing.T) {
 	for _, n := range []string{"cold-in-silence", "cold-unheard"} {
 		t.Run(n, func(t *testing.T) { runSeeded(t, n) })
--- a/entitlement/entitlement_test.go
+++ b/entitlement/entitlement_test.go
@@ -21,9 +21,9 @@
 
 // The next division takes away a slot on which a request still runs. If this
 // host reported the new epoch at once, the next owner would start a second
-// request on the slot and the backend server would reject one. So the epoch is
-// reported when the request has ended, or after Hold, since others wait no
-// longer than that.
+// request on the slot and the backend server would reject one. So this host
+// reports the new epoch only when the request has ended, or when Hold has
+// passed, since other hosts wait no longer than Hold.
 func TestReportWaitsForRequests(t *testing.T) {
 	for _, ends := range []bool{true, false} {
 		c := clockwork.NewFakeClock()
--- a/failover/failover_test.go
+++ b/failover/failover_test.go
@@ -20,9 +20,10 @@
 )
 
 // If failover exceeds the cap, all callers of a lost region arrive at once at
-// regions that cannot take them, and these fail in turn. However often the
-// region is lost and recovers, at most the cap of the callers move within an
-// interval, and none are moved out while the other regions have no room.
+// regions that have no room for them, and these regions fail in turn. However
+// often the region is lost and recovers, at most the cap of the callers move
+// within an interval, and none are moved out while the other regions have no
+// room.
 func TestStepsStayUnderTheCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clockwork.NewFakeClock()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// placeRequest places a request on one of two backend servers; again is the time after
-// which a backend server may grant a permit, if it does not grant one now.
+// placeRequest places a request on one of two backend servers; again holds, for each
+// backend server that grants no permit now, the time after which it may grant one.
 func placeRequest(ctx context.Context, patience time.Duration, again map[string]time.Duration) (slot.Slot, outcome.Outcome) {
 	w := newFixture()
 	p := &placement.Placement{Clock: w.clock, ColdCapacity: func(string) (float64, time.Duration) { return 0, 0 }}
--- a/growthlimit/growthlimit.go
+++ b/growthlimit/growthlimit.go
@@ -1,8 +1,8 @@
-// Package growthlimit limits how fast a failure domain takes on remote traffic,
+// Package growthlimit limits how fast a failure domain accepts remote traffic,
 // which comes from other regions or failure domains. When a region fails, all
-// its callers arrive at once; a domain that took them all with cold caches
-// would fail next. The limit applies where the traffic arrives, regardless of
-// the view of senders and plans.
+// its callers arrive at once; a domain that accepted all of them with cold
+// caches would fail next. The receiving domain applies the limit, whatever the
+// senders or the plan assume.
 package growthlimit
 
 import (
@@ -22,9 +22,9 @@
 	minBurstRequests = 1
 )
 
-// Growthlimit admits remote requests. In each interval it admits at most the remote
-// requests that it admitted in the last one, plus Cap times all requests that
-// ran in the last one.
+// Growthlimit admits remote requests. In each interval it admits at most as many remote
+// requests as in the previous interval, plus Cap times the number of all requests, local
+// and remote, that ran in the previous interval.
 type Growthlimit struct {
 	// Clock measures the intervals.
 	Clock clockwork.Clock
@@ -103,7 +103,8 @@
 
 func (g *Growthlimit) refill(now time.Time) {
 	if d := now.Sub(g.refilledAt).Seconds(); d > 0 {
-		// The remaining part of the allowance is the burst.
+		// The tokens that the bucket may already hold, burstFraction of the
+		// interval's allowance, make up the rest.
 		g.tokens += d * g.rate * (1 - g.burstFraction())
 		g.refilledAt = now
 	}
--- a/growthlimit/growthlimit_test.go
+++ b/growthlimit/growthlimit_test.go
@@ -20,8 +20,9 @@
 
 // A region fails and its callers arrive as fast as they can. If all were
 // admitted, this domain would fail next, and then the one after it. For any
-// arrivals, an interval admits at most what the previous one did plus the
-// growth allowed by the cap. The test counts admissions itself.
+// arrivals, the domain admits in an interval at most as many requests as in the
+// previous one plus the growth that the cap allows. The test counts admissions
+// itself.
 func TestAdmissionGrowthCapped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clockwork.NewFakeClock()
--- a/linklimit/linklimit.go
+++ b/linklimit/linklimit.go
@@ -20,9 +20,10 @@
 
 // Linklimit counts the bytes that this host sends on each link against its part
 // of the link's capacity. A message is sent, whatever its size, unless earlier
-// messages took too much; the excess is deducted from what may be sent later.
-// In any time t a host sends at most its part of the bytes for t and
-// burstSeconds, plus one message.
+// messages have used up the available bytes. Bytes beyond the available ones
+// are deducted from those that may be sent later. In any period of length t a
+// host sends at most its part of the bytes for t plus burstSeconds, and one
+// more message.
 type Linklimit struct {
 	// Clock measures the time.
 	Clock clockwork.Clock
@@ -69,8 +70,8 @@
 }
 
 // refilledBucket returns the bucket with the bytes added since its last use. A
-// new bucket is empty: this host may have replaced one that has just used the
-// same part.
+// new bucket is empty, because this host may replace a host that has just sent
+// the bytes of the same part.
 func (l *Linklimit) refilledBucket(limit string, rate float64) *bucket {
 	if l.buckets == nil {
 		l.buckets = make(map[string]*bucket)
--- a/linklimit/linklimit_test.go
+++ b/linklimit/linklimit_test.go
@@ -13,8 +13,9 @@
 
 // The link between two regions is shared by all traffic. Hosts that exceed its
 // capacity delay everyone's answers, including heartbeats. Whatever is sent,
-// and however wrong the estimates are, any period has at most the host's part
-// of its bytes, the bytes that may be sent at once, and the last message.
+// and however wrong the estimates are, the bytes sent in any period are at most
+// the host's part of the link's bytes for that period, the bytes that may be
+// sent at once, and the last message.
 func TestSentBytesWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clockwork.NewFakeClock()
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -8,8 +8,9 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// Meter holds counters that start with the process. Readers take differences,
-// so a lost heartbeat loses no counts.
+// Meter holds counters that start at zero with the process and only grow.
+// Readers of heartbeats compute differences of counters, so a lost heartbeat
+// loses no counts.
 type Meter struct {
 	mu      sync.Mutex
 	loads   map[string]*wire.Load
@@ -20,8 +21,8 @@
 	service, region string
 }
 
-// CountRequest counts one request that was run or refused. The duration is that of a
-// successful answer.
+// CountRequest counts one request that was run or refused. The duration d is that of a
+// successful answer; it is ignored if failed is set.
 func (m *Meter) CountRequest(service string, d time.Duration, failed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -51,11 +51,11 @@
 	must.NoError(t, <-d)
 }
 
-// One of two hosts lost the store and reads the full table again, so it considers
-// rows as possibly missing. The other host takes this copy. If it could reach the
-// store all the time, a row that is missing was really removed, and it must not
-// send requests to a backend server that has ended. If it lost the store as well,
-// rows may also be missing for it.
+// One of two hosts lost the store and reads the full table again, so rows may be missing
+// from its copy. The other host applies this copy. If this other host could reach the
+// store all the time, a missing row was really removed, and the host must not send
+// requests to a backend server that has ended. If it lost the store as well, it must also
+// treat rows as possibly missing.
 func TestIncompleteCopyOfAnotherHost(t *testing.T) {
 	for _, unreachable := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) { testIncompleteCopyOfAnotherHost(t, unreachable) })
@@ -93,11 +93,11 @@
 	}
 }
 
-// Another host announces a change. While the store is reachable, the change arrives
-// from it, and the full table must not be transferred between regions. If the
-// change does not arrive in time, the store has stopped responding, and the copy is
-// needed at once: otherwise callers with a withdrawn key would be served until a
-// timeout detects the failure.
+// Another host announces a change. While the store is reachable, the store delivers the
+// change, and the full table must not be transferred between regions. If the change does
+// not arrive in time, the store has stopped responding, and the copy is needed at once:
+// otherwise callers with a withdrawn key would be served until a timeout detects the
+// failure.
 func TestWantsCopyAfterTimeout(t *testing.T) { synctest.Test(t, testWantsCopyAfterTimeout) }
 
 func testWantsCopyAfterTimeout(t *testing.T) {
--- a/mirror/silence_test.go
+++ b/mirror/silence_test.go
@@ -130,7 +130,7 @@
 }
 
 // countBehind returns how many hosts lack a version. A host whose version has
-// decreased counts as all hosts.
+// decreased adds the number of all hosts, so that the test fails.
 func (f *fleet) countBehind(version uint64) int {
 	n := 0
 	for i, m := range f.mirrors {
@@ -261,11 +261,11 @@
 	return late
 }
 
-// The store stops responding for some or all hosts: it accepts calls and answers
-// none, including those already open. Callers are then served by outdated data,
-// such as withdrawn keys or moved routes. Changes made during or after the outage
-// must reach all hosts in time, however long a long poll waits normally, and no
-// host may return to an older version. Hosts that never abort long polls fail this.
+// The store stops responding for some or all hosts: it accepts calls and answers none,
+// including those already open. Callers are then served by outdated data, such as
+// withdrawn keys or moved routes. Changes made during or after the outage must reach all
+// hosts in time, however long a long poll waits normally, and no host may return to an
+// older version. Hosts that never abort long polls do not meet these bounds.
 func TestChangesArriveAfterSilentStore(t *testing.T) {
 	useOneProcessor(t)
 	lateWithoutAbort := 0
@@ -278,8 +278,8 @@
 	must.Positive(t, lateWithoutAbort)
 }
 
-// The same without heartbeats between hosts: each host must detect the outage
-// itself.
+// The check of TestChangesArriveAfterSilentStore without heartbeats between
+// hosts: each host must detect the outage itself.
 func TestChangesArriveAtIsolatedHosts(t *testing.T) {
 	useOneProcessor(t)
 	for s := range uint64(100) {
--- a/permits/permits_test.go
+++ b/permits/permits_test.go
@@ -99,9 +99,9 @@
 	return n
 }
 
-// Hosts together must not send more than a cold backend server can handle, whenever
-// their callers arrive, however the hosts are partitioned, and also when processes
-// restart.
+// All hosts together must not send more requests than a cold backend server can handle.
+// This must hold whenever callers arrive, however the hosts are partitioned, and when
+// processes restart.
 func TestSumOfPermits(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 40).Draw(r, "hosts"), rapid.IntRange(1, 3).Draw(r, "regions"), rapid.Float64Range(0, 30).Draw(r, "rate"))
@@ -178,8 +178,8 @@
 	must.Greater(t, 5*10, n)
 }
 
-// A caller that leaves while its host asks for a permit must not make the backend
-// server unavailable to others.
+// A caller that leaves while its host requests a permit must not make the backend server
+// unavailable to others.
 func TestCanceledPermitRequest(t *testing.T) {
 	f := newFleet(6, 1, 9.8)
 	x, stop := context.WithCancel(context.Background())
--- a/placement/move_test.go
+++ b/placement/move_test.go
@@ -36,9 +36,10 @@
 	return m
 }
 
-// Guards against objects that move without need, and with them callers to another region,
-// when one backend server leaves or joins without load. Only the objects of a backend
-// server that leaves may move, and objects may move only to one that joins.
+// Guards against objects that move without need, which would also send their callers to
+// another region, when a backend server leaves or joins while there is no load. Only the
+// objects of a backend server that leaves may move, and objects may move only to one that
+// joins.
 func TestServerChangeMovesOnlyItsObjects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &placement.Placement{
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -30,8 +30,8 @@
 	filled    int
 }
 
-// TestPlacement runs the scripts in testdata, which place requests of one service. They
-// have these commands:
+// TestPlacement runs the scripts in testdata, which place requests of one service. The
+// scripts use these commands:
 //
 //	servers NAME[:SLOTS][@REGION]... sets the backend servers; by default with 2 slots in lagos
 //	cold NAME DURATION               makes a backend server cold as of the next servers
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -8,8 +8,8 @@
 )
 
 // Plan is one version of the rules that steer callers to regions. Like the
-// configuration, it is only replaced by a higher version. Without a planner or
-// the platform the last plan stays in force.
+// configuration, it is only replaced by a higher version. If no planner runs or
+// the platform cannot be reached, the last plan stays in force.
 type Plan struct {
 	// Version grows by one with each plan.
 	Version uint64
@@ -26,8 +26,8 @@
 	Reason string
 }
 
-// Route returns the route of a service and a home region. By default it keeps
-// all callers at home.
+// Route returns the route of a service and a home region. If the plan has no
+// such route, the returned route keeps all callers at home.
 func (p *Plan) Route(service, home string) route.Route {
 	if p != nil {
 		for _, r := range p.Routes {
--- a/planfollower/planfollower.go
+++ b/planfollower/planfollower.go
@@ -19,14 +19,15 @@
 // Kind names the plan in messages between hosts.
 const Kind = "Plan"
 
-// Planfollower applies only higher versions, from the platform or from peers.
-// If neither can be reached, the last plan stays in force.
+// Planfollower receives plans from the platform and from peers, and applies a
+// plan only if its version is higher than that of the plan in force. If neither
+// the platform nor a peer can be reached, the last plan stays in force.
 type Planfollower struct {
 	// Clock paces the polling.
 	Clock clockwork.Clock
 	// Log receives one line for each applied version.
 	Log *log.Logger
-	// Store is polled.
+	// Store holds the plan's row, which is polled.
 	Store store.Store
 	// PollInterval returns the time until the next read of the plan's row.
 	PollInterval func() time.Duration
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -192,8 +192,8 @@
 
 // If the planner exceeds the cap, too many callers meet cold caches at once.
 // For any demand, capacity, drain, failure, cold cache and lag, the callers
-// whose region differs from that at any time within the last ShiftInterval do
-// not exceed the cap, and each route covers all points.
+// whose region now differs from their region at any one time within the last
+// ShiftInterval do not exceed the cap, and each route covers all points.
 func TestShiftsStayUnderTheirCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSimulation(t)
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -142,10 +142,10 @@
 
 func get(s *testscript.TestScript) *testQueue { return s.Value("queue").(*testQueue) }
 
-// A request that is granted after it was refused has its answer broken off, or
-// runs although the response was "not run". Arrivals, departures and releases
-// in any order must give each request one decision, and never more grants than
-// slots.
+// If a request were granted a slot after it was refused, its answer would break
+// off, or it would run although its caller received the response "not run".
+// Arrivals, departures and releases in any order must give each request one
+// decision, and never more grants than slots.
 func TestOneDecision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newTestQueue()
@@ -235,8 +235,9 @@
 	})
 }
 
-// A caller that closes its connection must not occupy a slot, and one whose
-// time is up gets a refusal. Both use the goroutine and the timer of Wait.
+// A caller that closes its connection must not occupy a slot. A caller whose
+// waiting time has ended must receive a refusal. Both use the goroutine and the
+// timer of Wait.
 func TestWait(t *testing.T) {
 	r := newTestQueue()
 	x, f := context.WithCancel(context.Background())
--- a/regionavailability/regionavailability.go
+++ b/regionavailability/regionavailability.go
@@ -1,8 +1,8 @@
 // Package regionavailability computes which fraction of each region is available to
 // requests that may be served in any region. A large account that is restricted to one
-// region may need all of it while other regions are half idle. Unrestricted requests
-// must then not use the capacity of that region, in particular not the memory of its
-// backend servers.
+// region may need all of that region while other regions are half idle. Unrestricted
+// requests must then not use the capacity of that region, in particular not the memory of
+// its backend servers.
 package regionavailability
 
 import (
@@ -71,8 +71,8 @@
 	b.updateAvailable()
 }
 
-// countRestricted counts a request for the regions that may serve it, unless all of them
-// may.
+// countRestricted counts a request for the regions that may serve it, unless all regions
+// may serve it.
 func (b *Regionavailability) countRestricted(homes func(region string) bool) {
 	if homes == nil {
 		return
--- a/regionavailability/regionavailability_test.go
+++ b/regionavailability/regionavailability_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// A large account no longer sends requests, or its home region has changed.
-// Unrestricted requests must be able to use its former region again; otherwise callers
-// near that region wait for the longer way to another one.
+// A large account no longer sends requests, or its home region has changed. Unrestricted
+// requests must be able to use its former region again; otherwise callers near that
+// region are sent to a more distant one and wait longer.
 func TestUnneededRegionIsReleased(t *testing.T) {
 	b := newAvailability()
 	countEvenly(b, time.Unix(0, 0), time.Minute, []string{"lagos"})
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -35,8 +35,8 @@
 
 // New returns the roster of the hosts that accept new requests. The function
 // slots returns how many requests the backend servers of a failure domain run
-// at once. Each host of the domain has an equal part of them as its weight, and
-// at least one.
+// at once. The weight of each host is an equal part of the slots of its domain,
+// but at least 1.
 func New(m []member.Member, slots func(domain string) int) *Roster {
 	r := &Roster{hosts: make(map[string][]member.Member), weights: make(map[string][]float64), totals: make(map[string]float64)}
 	n := make(map[string]int)
@@ -68,8 +68,8 @@
 
 // Preferred returns the indexes of the first n hosts of a region in the order
 // that an account prefers. The result is cached by account and region, since
-// its cost grows with the number of hosts in the region. The cache does not
-// depend on n, so all calls must pass the same n.
+// the cost of computing it grows with the number of hosts in the region. The
+// cache does not depend on n, so all calls must pass the same n.
 func (r *Roster) Preferred(account, region string, n int) []int {
 	k := preferenceKey{account: account, region: region}
 	if v, ok := r.preferences.Load(k); ok {
--- a/routeindex/routeindex.go
+++ b/routeindex/routeindex.go
@@ -39,8 +39,8 @@
 	version uint64
 }
 
-// New indexes a configuration that replaces the one of before. Before is nil
-// for the first configuration.
+// New indexes a configuration that replaces the one indexed by before. The
+// parameter before is nil for the first configuration.
 func New(c *config.Config, before *Routeindex, since time.Time) *Routeindex {
 	b := &Routeindex{
 		Config: c, Since: since, routes: make(map[string][]*ingress.Ingress), accounts: make(map[string]*account.Account),
--- a/simulation/simulation_test.go
+++ b/simulation/simulation_test.go
@@ -180,8 +180,9 @@
 	}
 }
 
-// load uses all tokens that each host grants, also with requests that wait, and
-// counts them against the limits of the account.
+// load sends one request through most of the hosts, and lets further requests
+// wait there and use all tokens that the host grants. It counts each token
+// against the account's limits.
 func (m *model) load() {
 	n := m.Now()
 	m.tokens = min(burst*int64(time.Second), m.tokens+rate*int64(n.Sub(m.at)))
@@ -239,8 +240,9 @@
 	})
 }
 
-// Under the same faults, no more requests may be admitted in any window of time
-// than burst and rate allow, over all hosts together and with tokens on loan.
+// Under the faults of TestPartsAreDisjoint, no more requests may be admitted in
+// any window of time than burst and rate allow, over all hosts together and
+// with tokens on loan.
 func TestRateAndBurst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 0.001)
@@ -249,10 +251,10 @@
 	})
 }
 
-// The checks of the other tests must detect each violation of the rule: a loan
-// that is not deducted from the lender's bucket, a part that is used after it
-// lapsed, and a larger part that is used before the former holders stopped
-// using it.
+// The checks of TestPartsAreDisjoint and TestRateAndBurst must detect each of
+// these violations: a loan that is not deducted from the lender's bucket, a
+// part that is used after it lapsed, and a larger part that is used before the
+// former holders stopped using it.
 func TestJudgeFindsBrokenRules(t *testing.T) {
 	broken := map[string]func(m *model){
 		"loan not deducted": func(m *model) {
--- a/split/split.go
+++ b/split/split.go
@@ -10,8 +10,9 @@
 
 // Split distributes each route's requests in proportion to the weights of its
 // portions, as evenly as the number of requests allows. Random or hash-based
-// selection would be too uneven: within a few seconds, the portions would
-// deviate too far from the weights that operators set.
+// selection would be too uneven: within a few seconds, the numbers of requests
+// that the services receive would deviate too far from the weights that
+// operators set.
 type Split struct {
 	mu      sync.Mutex
 	credits map[string]map[string]float64 // by route and service
@@ -41,7 +42,7 @@
 
 // nextService implements smooth weighted round robin. Each request adds every
 // service's fraction to its credit; the service with the highest credit gets
-// the request and pays 1.
+// the request, and its credit is reduced by 1.
 func nextService(credits map[string]float64, l []weightedservice.Weightedservice) string {
 	t := 0.0
 	for _, p := range l {
--- a/tokens/load_test.go
+++ b/tokens/load_test.go
@@ -23,7 +23,7 @@
 type load struct {
 	hosts   int
 	rate    float64
-	demand  float64 // arrivals per token that the rate makes
+	demand  float64 // arrivals per token that the rate adds to the buckets
 	lending bool    // hosts lend each other tokens
 	span    time.Duration
 }
@@ -114,8 +114,8 @@
 }
 
 // An account requests two and a half times its rate. Tokens that do not fit into the
-// bucket of a host without callers go to hosts that have some. Of the rate, 0.991 is
-// used (seed 1), with equal shares alone 0.967.
+// bucket of a host without callers go to hosts that have callers. The fraction 0.991 of
+// the rate is used (seed 1); with equal shares and no lending it is 0.967.
 func TestRateIsUsedUnderOverload(t *testing.T) {
 	synctest.Test(t, testRateIsUsed)
 }
@@ -131,7 +131,7 @@
 }
 
 // Eighty hosts serve an account that stays well inside its rate. Nearly every request
-// arrives at a host without a token and must wait for one of another host.
+// arrives at a host without a token and must wait until another host lends one.
 func TestManyHostsInsideTheRate(t *testing.T) {
 	synctest.Test(t, testManyHosts)
 }
--- a/tokens/loan_test.go
+++ b/tokens/loan_test.go
@@ -102,9 +102,9 @@
 	must.True(t, <-rest)
 }
 
-// A host requests tokens while another has none to spare. Before the bucket of the other host
-// overflows later, its spare tokens must go to the host that requested them instead of
-// being lost.
+// A host requests tokens from a second host that has none to spare. When the bucket of
+// the second host later fills up, it must send its spare tokens to the first host instead
+// of losing them.
 func TestSpareTokensAreLentLater(t *testing.T) {
 	m := drainedModel(2)
 	for range 20 {
--- a/tokens/retryafter_test.go
+++ b/tokens/retryafter_test.go
@@ -12,10 +12,10 @@
 	"celeryreach.example/celeryreach/tokens"
 )
 
-// Ten callers inside the rate arrive at a host that has just started with empty
-// buckets. Each refused caller must find a token when it retries after the returned
-// time. With the same time for all, they would return at once, one would be served and
-// nine refused again.
+// Ten callers inside the rate arrive at a host that has just started with empty buckets.
+// Each refused caller must find a token when it retries after the returned time. If all
+// of them were given the same time, they would return together, and one would be served
+// and nine refused again.
 func TestRetryAfterFindsToken(t *testing.T) {
 	k := clockwork.NewFakeClock()
 	x := &tokens.Tokens{Clock: k, Self: "a", Hosts: func() []string { return []string{"a", "b"} }}
@@ -36,8 +36,8 @@
 	}
 }
 
-// The time returned to callers far above the rate must stay bounded, and not be that of
-// a queue that does not exist.
+// The time returned to callers far above the rate must stay bounded. It must not grow
+// with each refused caller as if refused callers waited in a queue.
 func TestRetryAfterIsBounded(t *testing.T) {
 	k := clockwork.NewFakeClock()
 	x := &tokens.Tokens{Clock: k, Self: "a", Hosts: func() []string { return []string{"a"} }}
--- a/tokens/tokens_test.go
+++ b/tokens/tokens_test.go
@@ -58,7 +58,7 @@
 	return n
 }
 
-// names returns the hosts that a host sees if it knows n hosts.
+// names returns the names of the hosts that a host knows if it knows n hosts.
 func names(n int) []string {
 	var r []string
 	for i := range n {
@@ -197,10 +197,10 @@
 	}
 }
 
-// All callers of an account reach one of many hosts, which holds no share of the
-// limits. While requests wait there, it must get every token of the burst from the
-// others, so that callers inside the rate are not refused because of the host that they
-// reach. It must not get more.
+// All callers of an account reach the same host of many, and this host holds no share of
+// the limits. While requests wait at the host, it must borrow every token of the burst
+// from the other hosts, but no more. Otherwise callers inside the rate would be refused
+// because of the host that they reach.
 func TestSmallSharesAreLent(t *testing.T) {
 	m := newModel(50, 48, 48)
 	m.clock.Advance(time.Hour)
