--- a/backendfaults/backendfaults.go
+++ b/backendfaults/backendfaults.go
@@ -12,8 +12,8 @@
 	Drain bool `json:",omitzero"`
 	// Cold makes every request take ten times as long.
 	Cold bool `json:",omitzero"`
-	// Silent accepts connections and requests but neither runs nor answers
-	// them.
+	// Silent accepts connections and reads requests, but neither runs nor answers
+	// the requests.
 	Silent bool `json:",omitzero"`
 	// Mute runs requests but never answers them.
 	Mute bool `json:",omitzero"`
--- a/backendstandin/backendstandin.go
+++ b/backendstandin/backendstandin.go
@@ -121,7 +121,8 @@
 	_, _ = w.Write(v) // a failed write means that the client disconnected
 }
 
-// Busy returns how many requests are running or being refused.
+// Busy returns how many requests are in progress. Requests that are being refused
+// are included.
 func (b *Backendstandin) Busy() int {
 	return int(b.busy.Load())
 }
--- a/burncounter/burncounter.go
+++ b/burncounter/burncounter.go
@@ -109,8 +109,8 @@
 
 func (b *Burncounter) expire() {
 	n := b.Clock.Now()
-	// Expiry runs once a minute: scanning all counts every second would block
-	// requests for a millisecond at current sizes.
+	// Counts expire once a minute: scanning all counts every second would block
+	// requests for a millisecond each time at current sizes.
 	if b.lastExpiryMinute == unixMinute(n) {
 		return
 	}
--- a/burncounter/burncounter_test.go
+++ b/burncounter/burncounter_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// Each request is counted in exactly one field of Requestcounts. Only requests that
-// spent a token and did not get it back count as admitted against the rate.
+// Each request is counted in exactly one field of Requestcounts. A request counts as
+// admitted against the rate only if it used a token that was not returned.
 func TestRecordCountsOutcomes(t *testing.T) {
 	c := clockwork.NewFakeClockAt(time.Unix(6000, 0))
 	b := newBurn(c)
--- a/burncounter/record.go
+++ b/burncounter/record.go
@@ -44,8 +44,9 @@
 	b.recordRate(secondKey{second: n.Unix(), account: account}, o)
 }
 
-// recordRate counts the request against the account's rate. A request that was
-// not run has returned its token and is not counted.
+// recordRate counts the request as admitted or refused under the account's rate. A
+// request that was not run for a reason other than the rate has returned its token
+// and is not counted.
 func (b *Burncounter) recordRate(k secondKey, o outcome.Outcome) {
 	if o.Outcome != outcome.OverRate && o.Ran == outcome.RanNo {
 		return
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -11,8 +11,8 @@
 	"celeryreach.example/celeryreach/targetsize"
 )
 
-// The capacity page is generated from this output, so a run must print every role,
-// and every figure must come from a measurement.
+// The capacity page is generated from the output of Run. Therefore Run must print
+// every role, and every figure must come from a measurement.
 func TestShortRun(t *testing.T) {
 	var b strings.Builder
 	c := &capacity.Capacity{Clock: clockwork.NewRealClock(), Target: targetsize.New(), Out: &b, Short: true}
--- a/capacity/measurements.go
+++ b/capacity/measurements.go
@@ -118,8 +118,8 @@
 	})
 }
 
-// divisionTime measures how long a host takes to decode and apply a division with a
-// new epoch.
+// divisionTime measures how long a host takes to decode and apply a division whose
+// epoch is new to the host.
 func (c *Capacity) divisionTime(n int) float64 {
 	b := mustMarshal(newDivision(n))
 	h := &entitlement.Entitlement{Clock: c.Clock, Self: newHolder(0), Hold: holdTime, StoreHold: holdTime, TickInterval: heartbeatInterval}
@@ -195,7 +195,7 @@
 	b := newBlock(n / 2)
 	return measurement.Time(c.Clock, func() {
 		if err := t.Change([]block.Block{b}, nil); err != nil {
-			panic(err) // the block is already in the table, so it is valid
+			panic(err) // the table already contains this block, so the block is valid
 		}
 	})
 }
--- a/capacity/placement.go
+++ b/capacity/placement.go
@@ -30,8 +30,8 @@
 	// three services each, and four backend servers per service.
 	regionBackends = 1_128
 	// regionBackendChanges is the number of changes per second to a region's list.
-	// Each backend server is replaced once a day, which changes its entry four
-	// times as it appears, warms up and leaves.
+	// Each backend server is replaced once a day. A replacement changes the list
+	// four times while a backend server appears, warms up and leaves.
 	regionBackendChanges = regionBackends * 4 / 86_400.0
 )
 
--- a/capacity/queue.go
+++ b/capacity/queue.go
@@ -19,7 +19,8 @@
 	slotsPerBackend = 4
 )
 
-// newQueue returns a queue of n waiting requests. No slot ever becomes free.
+// newQueue returns a queue of n waiting requests. They stay in the queue because no
+// slot ever becomes free.
 func (c *Capacity) newQueue(n int) *queue.Queue {
 	q := &queue.Queue{Clock: c.Clock, Limit: 2 * n, Acquire: func() (slot.Slot, bool) { return slot.Slot{}, false }}
 	for i := range n {
--- a/capacity/requests.go
+++ b/capacity/requests.go
@@ -42,8 +42,8 @@
 	return measurement.Time(c.Clock, func() { roster.New(m, slotsPerService) })
 }
 
-// lookupTime measures the look-up handler. It leaves out the reading and writing of
-// the connection by net/http, which every HTTP response costs, whatever its handler.
+// lookupTime measures the look-up handler. The time that net/http takes to read and
+// write the connection is not included, because every HTTP handler has that cost.
 func (c *Capacity) lookupTime(n int) float64 {
 	s := snapshot.New(newConfig(1), "")
 	r := roster.New(members(n), slotsPerService)
--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -6,7 +6,8 @@
 	"celeryreach.example/celeryreach/componentcost"
 )
 
-// Assumptions in addition to the stated target. The capacity page lists them too.
+// These assumptions are not part of the target that the users stated. The capacity
+// page lists them too.
 const (
 	// clientAccounts is the number of client accounts.
 	clientAccounts = 100_000
@@ -15,8 +16,9 @@
 	// heartbeatSeconds is the interval of heartbeats between hosts of a site.
 	heartbeatSeconds = 1.5
 	// remoteHeartbeatSeconds is the interval of heartbeats between the hosts that
-	// represent a site or a failure domain. Hold is three intervals, so the
-	// leased parts of a host that stops sending heartbeats are reassigned within
+	// represent a site or a failure domain. Hold, the time without a heartbeat after
+	// which a host's leased parts may be reassigned, is three intervals. The leased
+	// parts of a host that stops sending heartbeats are therefore reassigned within
 	// 12 s.
 	remoteHeartbeatSeconds = 4.0
 	// heartbeatDemands is the number of accounts whose demand changes between two
@@ -41,7 +43,7 @@
 	// that carry idempotency ids chosen by callers. Above that rate, callers have
 	// to use tickets.
 	idempotencyIDRequests = 100
-	// usedTickets is the number of used tickets that a host keeps.
+	// usedTickets is the number of used tickets that a host keeps in memory.
 	usedTickets = 20_000
 	// limitedAccounts is the number of a site's accounts that are at their rate limit.
 	limitedAccounts = 20
@@ -51,7 +53,8 @@
 	// countWriteSeconds is the interval at which counts are written to the table.
 	countWriteSeconds = 300.0
 	// waitingRequests is the number of requests waiting on a host. The number of
-	// requests per second on a host is taken to equal that of look-ups.
+	// requests per second on a host is assumed to equal its number of look-ups per
+	// second.
 	waitingRequests = 10_000
 	// domainBackends is the number of a service's backend servers in a failure domain.
 	domainBackends = 40
@@ -112,10 +115,11 @@
 	}
 }
 
-// membership returns the cost of heartbeats. Within a site, all hosts exchange
-// them. Between the sites of a failure domain, and between failure domains, one
-// host of each does. The cost is that of the most expensive host, which represents
-// both its site and its failure domain.
+// membership returns the cost of heartbeats. Within a site, every host exchanges
+// heartbeats with every other host. Between the sites of a failure domain, one host
+// of each site does so, and between failure domains one host of each failure domain.
+// The cost is that of the most expensive host, which represents both its site and
+// its failure domain.
 func (c *Capacity) membership() componentcost.Componentcost {
 	t := c.Target
 	f := t.Sites/t.Domains - 1 + t.Domains - 1
--- a/cmd/block.go
+++ b/cmd/block.go
@@ -64,8 +64,8 @@
 }
 
 // splitBlocks separates the blocks to put from those to remove. It rejects
-// unknown regions: callers in such a block would wait forever for hosts of that
-// region.
+// unknown regions, because callers in a block of such a region would wait forever
+// for hosts of that region.
 func splitBlocks(c *config.Config, l []block.Block) (put []block.Block, remove []netip.Prefix, err error) {
 	h := make(map[string]bool)
 	for _, r := range c.Regions {
--- a/cmd/config.go
+++ b/cmd/config.go
@@ -36,8 +36,8 @@
 }
 
 // withFirstOperator adds a placeholder operator to a first configuration without
-// operators, so that it passes validation: config init issues the first key
-// itself.
+// operators. Without the placeholder, the configuration would not pass validation,
+// although config init issues the first operator's key itself.
 func withFirstOperator(c *config.Config) *config.Config {
 	if c.Version > 0 || len(c.Operators) > 0 {
 		return c
--- a/cmd/connection.go
+++ b/cmd/connection.go
@@ -35,8 +35,8 @@
 const callTimeout = 10 * time.Second
 
 // connection provides access to the configuration, through the operators'
-// interface of a host or directly on the platform. client is nil in the latter
-// case.
+// interface of a host or directly on the platform. client is nil if the platform is
+// used directly.
 type connection struct {
 	client      *operatorclient.Operatorclient
 	transport   *http.Transport
--- a/cmd/currentconfig.go
+++ b/cmd/currentconfig.go
@@ -8,8 +8,9 @@
 	"celeryreach.example/celeryreach/config"
 )
 
-// currentConfig returns the configuration in force, for commands that take the
-// named arguments and make no other calls to the operators' interface.
+// currentConfig checks that the command has the named arguments and returns the
+// configuration in force. It is for commands that make no other calls to the
+// operators' interface.
 func (m *Cmd) currentConfig(ctx context.Context, c *cli.Command, names ...string) (*config.Config, error) {
 	if _, err := exactArgs(c, names...); err != nil {
 		return nil, err
--- a/cmd/edit.go
+++ b/cmd/edit.go
@@ -50,8 +50,9 @@
 }
 
 // editConfig applies a change to the configuration. If another change was accepted
-// in the meantime, it applies the change again on top of that one, unless both
-// modify the same field: that conflict is left to the operator.
+// in the meantime, editConfig applies its change again to the new version. If both
+// changes modify the same field, editConfig reports a conflict, which the operator
+// has to resolve.
 func (m *Cmd) editConfig(ctx context.Context, c *cli.Command, key string, apply func(c *config.Config) error) error {
 	n, err := m.connect(c)
 	if err != nil {
@@ -86,8 +87,8 @@
 	return errors.Errorf("%d attempts met %d other changes; nothing was changed", maxEditAttempts, maxEditAttempts)
 }
 
-// rebase returns the version that was accepted in the meantime, if the change can
-// be applied on top of it.
+// rebase returns the configuration that was accepted in the meantime, if the
+// differences in mine can be applied to it. Otherwise it returns an error.
 func (m *Cmd) rebase(ctx context.Context, c *cli.Command, n *connection, base *config.Config, mine []difference.Difference, cause error) (*config.Config, error) {
 	var p *problem.Problem
 	if !errors.As(cause, &p) || p.Problem != problem.Conflict {
@@ -103,9 +104,9 @@
 	return l, nil
 }
 
-// awaitVersion loads the configuration once the host has the accepted version or a
-// later one. The host that reports a conflict may apply that version shortly
-// afterwards.
+// awaitVersion waits until the host has the accepted version or a later one, and
+// returns the host's configuration. The wait is necessary because a host that reports
+// a conflict may apply the accepted version only shortly afterwards.
 func (m *Cmd) awaitVersion(ctx context.Context, n *connection, a acceptedversion.Acceptedversion) (*config.Config, error) {
 	x, f := context.WithTimeout(ctx, versionPollTimeout)
 	defer f()
--- a/cmd/exit.go
+++ b/cmd/exit.go
@@ -52,8 +52,8 @@
 	return &exitError{code: exitUsage, text: err.Error()}
 }
 
-// exactArgs returns the arguments of a command, which must match the given names
-// in number.
+// exactArgs returns the arguments of a command, or a usage error unless there is
+// exactly one argument for each of the given names.
 func exactArgs(c *cli.Command, names ...string) ([]string, error) {
 	a := c.Args().Slice()
 	if len(a) == len(names) {
--- a/cmd/rollout.go
+++ b/cmd/rollout.go
@@ -33,9 +33,9 @@
 	err    error
 }
 
-// hostStates requests the status of every host that the first one knows of. It
-// queries each host directly, because a peer's view of a host is older than the
-// status from the host itself.
+// hostStates requests the status of the connected host and of every host that this
+// status lists. It queries each host directly, because a peer's view of a host is
+// older than the status from the host itself.
 func (n *connection) hostStates(ctx context.Context) ([]hostState, error) {
 	s, err := n.client.Status(ctx)
 	if err != nil {
@@ -73,8 +73,8 @@
 	x, f := context.WithTimeout(ctx, d)
 	defer f()
 	for {
-		// A round always completes, even after the wait has expired: a canceled
-		// request would make its host appear unresponsive.
+		// The status requests use ctx instead of x, so that they complete after the
+		// wait has expired: a canceled request would make its host appear unresponsive.
 		s, err := n.hostStates(ctx)
 		if err == nil || hosts == nil {
 			hosts, all = rolloutState(s, version, err)
--- a/componentcost/componentcost.go
+++ b/componentcost/componentcost.go
@@ -21,6 +21,6 @@
 	// Mechanism describes the mechanism that supports the role at the target size.
 	Mechanism string
 	// Bottleneck describes why the present code would fail at the target size. It is
-	// empty if the code would not.
+	// empty if the present code would work at that size.
 	Bottleneck string
 }
--- a/counter/counter.go
+++ b/counter/counter.go
@@ -10,7 +10,8 @@
 )
 
 // published holds all metrics of the process by name, because expvar panics when a name
-// is published twice. Several hosts in one process would do that.
+// is published twice. Without it, a second host in the process would publish the names
+// of the first one again.
 var (
 	mutex     sync.Mutex
 	published = make(map[string]metrics.Counter)
--- a/credential/credential.go
+++ b/credential/credential.go
@@ -15,9 +15,9 @@
 	// Account is the client account that the key belongs to. It is empty for
 	// keys of operators.
 	Account string `json:",omitzero"`
-	// Hash is the hex-encoded SHA-256 of the key. Keys contain at least 128
-	// random bits, so a slow hash would make each request more expensive
-	// without added protection.
+	// Hash is the hex-encoded SHA-256 of the key. A slow password hash is not
+	// needed because keys contain at least 128 random bits: it would make each
+	// request more expensive without added protection.
 	Hash string
 }
 
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -15,9 +15,9 @@
 	"celeryreach.example/celeryreach/demo"
 )
 
-// The demo ends while callers cancel requests, get responses and are refused. A
-// request without an outcome, or a goroutine that keeps running, would be a
-// leak that a host has too.
+// The demo ends while callers cancel requests, receive responses and are refused.
+// Every request must have an outcome, and no goroutine may keep running. The demo
+// runs complete hosts, so a leak in the demo would also be a leak in a host.
 func TestDemoEndsWithNothingLost(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	ctx, c := context.WithTimeout(context.Background(), 4*time.Second)
--- a/feedstandin/feedstandin.go
+++ b/feedstandin/feedstandin.go
@@ -23,7 +23,7 @@
 	version     uint64
 	changed     chan struct{}
 	muted       map[string]bool // callers whose calls get no answer
-	muteEpochs  map[string]int  // number of Mute calls by caller
+	muteEpochs  map[string]int  // number of SetMuted calls by caller
 	answerDelay time.Duration   // delay of each answer
 }
 
@@ -61,8 +61,9 @@
 	return s.version
 }
 
-// Feed answers a feed call: it returns the changes after a version and the
-// table's version, waiting up to wait for a change.
+// Feed answers a feed call. It returns the changes after a version and the table's
+// version. If there are no changes yet, Feed waits for one, at most for the
+// duration wait.
 func (s *Feedstandin) Feed(ctx context.Context, caller string, after uint64, wait time.Duration) ([]row.Row, uint64, error) {
 	s.mu.Lock()
 	e := s.muteEpochs[caller]
@@ -100,8 +101,9 @@
 }
 
 // since returns the changes after a version, the table's version, a channel
-// that is closed at the next change, and whether a call that started in epoch
-// can be answered.
+// that is closed at the next change, and whether the call can be answered. A call
+// that started in epoch cannot be answered if its caller is muted or if SetMuted
+// has been called for its caller since then.
 func (s *Feedstandin) since(caller string, epoch int, after uint64) (l []row.Row, v uint64, c <-chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -62,7 +62,7 @@
 	AdjustSettings func(s *settings.Settings)
 
 	// Roots are the certificate authorities that Status and Send trust if
-	// Adjust configures TLS on the hosts.
+	// AdjustSettings configures TLS on the hosts.
 	Roots *x509.CertPool
 
 	// Platform is the platform stand-in.
@@ -138,9 +138,9 @@
 	return r
 }
 
-// Await polls until the condition holds or ctx ends. It polls because sockets
-// emit no event for such conditions and a fixed sleep would be too short on a
-// busy machine.
+// Await polls until the condition holds or ctx ends. Polling is necessary because
+// sockets emit no event for such conditions, and a fixed sleep would be too short
+// on a busy machine.
 func (f *Fleet) Await(ctx context.Context, what string, condition func() bool) error {
 	for !condition() {
 		select {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -31,8 +31,8 @@
 
 func newFleet(t *testing.T, set ...func(f *fleet.Fleet)) (context.Context, *fleet.Fleet) {
 	t.Helper()
-	// goleak is registered first because cleanups run in reverse order: it has
-	// to run after Stop.
+	// The goleak check is registered first because cleanups run in reverse order
+	// and the check has to run after Stop.
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	ctx, c := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(c)
@@ -63,9 +63,10 @@
 	}
 }
 
-// While two failure domains are partitioned, each host removes the other from
-// its peers and continues to answer its callers. After the partition they must
-// reconnect through new connections, because the old ones stay blackholed.
+// While two failure domains are partitioned, the host of each one must remove the
+// other host from its peers and continue to answer its callers. After the
+// partition, the hosts must open new connections to each other, because the old
+// connections stay blackholed.
 func TestPartitionAndHeal(t *testing.T) {
 	ctx, f := newFleet(t)
 	must.NoError(t, f.Await(ctx, "an answer", requestSucceeds(ctx, f, "n1-a")))
--- a/fleet/hosts.go
+++ b/fleet/hosts.go
@@ -63,7 +63,7 @@
 		l.closeAll()
 	}
 	h.task.cancel()
-	// A crashed process returns no error, so the error is ignored.
+	// The error is ignored because a process that really crashed could not return one.
 	_ = h.task.wait()
 	f.closeHost(h)
 	f.network.heal(name, anyLabel)
--- a/fleet/listener.go
+++ b/fleet/listener.go
@@ -36,8 +36,8 @@
 }
 
 // listen returns the listener that addHost has already opened on the address.
-// After a restart it binds the same port again, which is still reserved for
-// this host.
+// After a restart of the host there is no open listener, so listen binds the port
+// again, which is still reserved for this host.
 func (h *managedHost) listen(ctx context.Context, address string) (net.Listener, error) {
 	if l := h.listeners[address]; l != nil {
 		return l, nil
--- a/fleet/network.go
+++ b/fleet/network.go
@@ -21,8 +21,9 @@
 	conns           map[*conn]bool
 }
 
-// setLabels records the labels of an address: the names of its host, failure
-// domain and region, or that of the platform.
+// setLabels records the labels of an address. A host's address has the names of the
+// host, its failure domain and its region as labels; the platform's address has
+// PlatformLabel.
 func (n *network) setLabels(address string, labels []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/fleetscript/commands.go
+++ b/fleetscript/commands.go
@@ -83,9 +83,9 @@
 	return fmt.Sprintf("%d %s\n", c, strings.TrimSpace(b)), err
 }
 
-// until runs a command repeatedly until its output matches. It polls because
-// nothing notifies a caller of a state change on another host. It adds one
-// entry to the transcript, regardless of the number of polls.
+// until runs a command repeatedly until its output matches. Polling is necessary
+// because callers receive no notification of a state change on a host. The
+// transcript contains one entry for all runs of the command together.
 func until(ts *testscript.TestScript, neg bool, args []string) {
 	s := scriptOf(ts)
 	if neg || len(args) < 2 {
--- a/latency/latency.go
+++ b/latency/latency.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// maxLatency is the highest latency that is recorded; higher ones count as this.
+	// maxLatency is the highest latency that is recorded. Higher latencies are
+	// recorded as maxLatency.
 	maxLatency        = time.Minute
 	significantDigits = 2
 	// maxRoutes bounds the number of histograms, which take 16 KB each. Further routes
--- a/linearfit/linearfit.go
+++ b/linearfit/linearfit.go
@@ -13,8 +13,8 @@
 	RSquared float64
 }
 
-// New fits a line by least squares. It needs at least two different sizes. With a
-// single one, the line is constant at the mean cost.
+// New fits a line by least squares. If all sizes are equal, no slope can be computed
+// and the line is constant at the mean cost.
 func New(sizes, costs []float64) Linearfit {
 	x, y := mean(sizes), mean(costs)
 	var v, c, t float64
--- a/metric/metric.go
+++ b/metric/metric.go
@@ -11,8 +11,8 @@
 )
 
 // published and callbacks hold all metrics of the process by name, because expvar
-// panics when a name is published twice. A restarted component would do that, and so
-// would several hosts in one process.
+// panics when a name is published twice. Without them, a restarted component or a
+// second host in the process would publish a name again.
 var (
 	mutex     sync.Mutex
 	published = make(map[string]metrics.Gauge)
--- a/metric/metric_test.go
+++ b/metric/metric_test.go
@@ -9,8 +9,8 @@
 	"celeryreach.example/celeryreach/metric"
 )
 
-// Guards against a second host in a process whose metric keeps showing the value of the
-// first one.
+// Guards against a metric that keeps showing the value of the first host after a second
+// host in the same process has published it.
 func TestFollow(t *testing.T) {
 	n := 1
 	m := metric.Metric{Name: t.Name()}
--- a/platformfaults/platformfaults.go
+++ b/platformfaults/platformfaults.go
@@ -13,9 +13,9 @@
 	// LoseAnswers is the number of next commits that take effect and whose
 	// connection is then closed without an answer.
 	LoseAnswers int `json:",omitzero"`
-	// LoseCommits is the number of next commits whose connection is closed
-	// before they take effect. To the caller they look the same as lost
-	// answers.
+	// LoseCommits is the number of next commits that have no effect and whose
+	// connection is closed without an answer. A caller cannot distinguish a lost
+	// commit from a lost answer.
 	LoseCommits int `json:",omitzero"`
 	// ListLag is the maximum age of the host list.
 	ListLag time.Duration `json:",omitzero"`
--- a/preset/preset.go
+++ b/preset/preset.go
@@ -15,9 +15,9 @@
 	ShiftInterval time.Duration
 	// Headroom is the fraction of a region's slots that plans keep free.
 	Headroom float64
-	// GrowthCap is the maximum relative growth, within a ShiftInterval, of the
-	// traffic from other regions and failure domains that a failure domain
-	// admits, in 0..1.
+	// GrowthCap limits the traffic that a failure domain admits from other regions
+	// and failure domains. It is the maximum relative growth of this traffic within
+	// a ShiftInterval, in 0..1.
 	GrowthCap float64
 	// FloorFraction is the fraction of each limit that failure domains hold
 	// permanently. The rest is leased.
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -32,7 +32,7 @@
 	KeyUnknown = "KeyUnknown"
 	// NotConfigured means that the host has no configuration yet.
 	NotConfigured = "Unconfigured"
-	// BadRequest means that the interface does not support the request.
+	// BadRequest means that the operators' interface does not support the request.
 	BadRequest = "BadRequest"
 	// InvalidConfig means that the configuration has mistakes; nothing was changed.
 	InvalidConfig = "Mistaken"
--- a/processes/freeze_test.go
+++ b/processes/freeze_test.go
@@ -66,10 +66,10 @@
 
 // A host is frozen with SIGSTOP while its token bucket is full. The other hosts
 // take over its leased share and fill their buckets. Then callers send requests
-// to all hosts at once, including the frozen one. When it resumes, it finds
-// those requests in its sockets next to its peers' heartbeats. Whichever it
-// reads first, the hosts together must not run more requests than burst and
-// rate allow in the elapsed time.
+// to all hosts at once, including the frozen one. When the frozen host resumes, its
+// sockets contain both these requests and the heartbeats of its peers. Whether it
+// reads the requests or the heartbeats first, the hosts together must not run more
+// requests than burst and rate allow in the elapsed time.
 func TestFrozenHost(t *testing.T) {
 	d := deploy(t)
 	<-clock.After(burst / rate * time.Second) // until all buckets are full
@@ -112,8 +112,9 @@
 }
 
 // A host is killed while it runs deposits, and a replacement takes its name.
-// The callers retry each deposit at another host until they know its outcome.
-// No deposit may run twice, and each answered deposit must have run.
+// The callers retry each deposit at another host until it is answered or that host
+// reports its outcome as unknown. No deposit may run twice, and each answered
+// deposit must have run.
 func TestKilledHost(t *testing.T) {
 	d := deploy(t)
 	const deposits = 24
--- a/processes/processes_test.go
+++ b/processes/processes_test.go
@@ -154,8 +154,8 @@
 	return p
 }
 
-// reserveAddress reserves a free address for a host, also while its process is
-// not running.
+// reserveAddress reserves a free address for a host. The address stays reserved
+// while the host's process is not running.
 func (d *deployment) reserveAddress() string {
 	r, err := reservation.New()
 	must.NoError(d.t, err)
--- a/relaybenchmark/relaybenchmark.go
+++ b/relaybenchmark/relaybenchmark.go
@@ -25,9 +25,10 @@
 
 const maxRounds = 50
 
-// Relaybenchmark builds a fleet in which each host knows the hosts of its site. The
-// first host of a site also knows those of the other sites of its failure
-// domain, and the first host of a failure domain those of the other domains.
+// Relaybenchmark builds a fleet in which the peers of each host are the other hosts of
+// its site. The first host of a site also has the first hosts of the other sites of its
+// failure domain as peers. The first host of a failure domain also has the first hosts
+// of the other failure domains as peers.
 type Relaybenchmark struct {
 	// Out receives the results.
 	Out io.Writer
@@ -94,9 +95,9 @@
 	return nil
 }
 
-// runRound lets the hosts that have the version send notices. Then the hosts
-// that were notified before the first fetch of the round fetch the version. A
-// round is thus one notice and one fetch.
+// runRound runs one round. First, the hosts that have the version send notices. Then
+// the hosts that have received a notice fetch the version. Hosts that are notified
+// during these fetches have to wait for the next round.
 func (t *Relaybenchmark) runRound(ctx context.Context, version uint64) {
 	for _, x := range t.nodesWith(version, true) {
 		x.relay.Sync(ctx)
--- a/report/builder.go
+++ b/report/builder.go
@@ -77,10 +77,10 @@
 	return t
 }
 
-// wrongfulRefusals estimates the wrongful rate refusals in a scope. The replay
-// yields them by account only, because rates apply across all hosts and services.
-// They are distributed in proportion to the rate refusals of each service and
-// region.
+// wrongfulRefusals estimates the wrongful rate refusals in a scope. Package
+// refusalaudit determines wrongful refusals by account only, because rates apply
+// across all hosts and services. The wrongful refusals of an account are distributed
+// among services and regions in proportion to the account's rate refusals there.
 func (b *builder) wrongfulRefusals(s scope, window time.Duration) float64 {
 	r := 0.0
 	for _, a := range b.scopedAccounts(s) {
@@ -183,9 +183,10 @@
 	}
 }
 
-// alertLevel requires a high burn rate in both a short and a long window: the
-// long window shows that the budget is being consumed to a relevant degree, the
-// short one that this still continues.
+// alertLevel returns Fast or Slow if the burn rate is high in both a short and a long
+// window, and otherwise an empty string. A high rate in the long window shows that a
+// relevant part of the budget has been consumed. A high rate in the short window shows
+// that the budget is still being consumed.
 func alertLevel(r []windowRate) string {
 	o := func(i int, limit float64) bool { return r[i].Burn >= limit && r[i].Total >= minAlertRequests }
 	switch {
--- a/report/measures.go
+++ b/report/measures.go
@@ -14,7 +14,8 @@
 const recentWindow = time.Hour
 
 // worstServed returns the account with the smallest fraction of complete answers.
-// It returns nothing if the service has no such objective or had no requests.
+// It returns nothing if the objective sets no WorstShare or if the service had no
+// requests.
 func (b *builder) worstServed(o objective.Objective) []worstAccount {
 	if o.WorstShare == 0 {
 		return nil
@@ -36,7 +37,7 @@
 }
 
 // headroom returns the fraction of free slots in each region, or nothing if the
-// service has no such objective.
+// objective sets no Headroom.
 func (b *builder) headroom(o objective.Objective) []headroom {
 	if o.Headroom == 0 {
 		return nil
@@ -83,7 +84,8 @@
 }
 
 // latency merges the histograms of all hosts. A histogram that cannot be decoded
-// comes from a newer host; it is skipped, so Answers does not include its answers.
+// comes from a host with a newer version of the program. It is skipped, and its
+// answers are missing from Answers.
 func (b *builder) latency(o objective.Objective) []latency {
 	var m *hdrhistogram.Histogram
 	for _, h := range b.hostCounts {
@@ -138,8 +140,9 @@
 	return r
 }
 
-// wrongfulByMinute distributes the wrongful refusals to a service in the same
-// proportion as wrongfulRefusals.
+// wrongfulByMinute estimates the wrongful refusals of a service in each minute. As in
+// wrongfulRefusals, the wrongful refusals of an account are distributed in proportion
+// to its rate refusals by each service.
 func (b *builder) wrongfulByMinute(service string) map[int64]float64 {
 	r := make(map[int64]float64)
 	d := Windows[len(Windows)-1]
--- a/report/report.go
+++ b/report/report.go
@@ -50,7 +50,8 @@
 	// Replaced lists processes that no longer run and whose counts were stored
 	// on the platform.
 	Replaced []string
-	// Unkept is the error that occurred while reading the stored counts.
+	// Unkept is the error that occurred while reading the counts stored on the
+	// platform, if any.
 	Unkept string `json:",omitzero"`
 	// Alerts lists the budgets whose burn rate is too high.
 	Alerts []string
--- a/requestcounts/requestcounts.go
+++ b/requestcounts/requestcounts.go
@@ -17,8 +17,8 @@
 	Timely uint64
 	// Left counts callers that disconnected.
 	Left uint64
-	// Failed counts callers that waited and got no complete answer, whether or
-	// not a backend server ran the request.
+	// Failed counts callers that waited and received no complete answer, although
+	// a backend server ran the request or may have run it.
 	Failed uint64
 	// Inside counts refusals of requests that were within the account's rate and
 	// were not run, because no slot became free, the store was unavailable or the
--- a/scenario/callergroup_test.go
+++ b/scenario/callergroup_test.go
@@ -24,7 +24,7 @@
 )
 
 // callerGroup runs callers in the background and checks the responses that they
-// get.
+// receive.
 type callerGroup struct {
 	state  *scriptState
 	cancel context.CancelFunc
@@ -126,9 +126,9 @@
 
 // stop ends the callers and checks their results: every response was complete
 // and belonged to its request, no deposit ran twice, each answered deposit ran
-// once, and each deposit reported as "not run" did not run. It first waits
-// until at least one request has been answered, because on a busy machine the
-// script can end before that.
+// once, and each deposit reported as "not run" did not run. Before ending the
+// callers, stop waits until at least one request has been answered, because on a
+// busy machine the script can reach this point before any response.
 func (c *callerGroup) stop(ts *testscript.TestScript) {
 	ts.Check(c.state.fleet.Await(c.state.ctx, "a response to a background caller", func() bool {
 		c.mu.Lock()
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -123,8 +123,8 @@
 		},
 	}
 	ts.Check(w.fleet.Start(w.ctx))
-	// A new deployment refuses requests until the hosts know the first division
-	// of the rate limits.
+	// A new deployment refuses requests until the hosts have received the first
+	// division of the rate limits.
 	for _, h := range w.fleet.Hosts() {
 		ts.Check(w.fleet.Await(w.ctx, "answers from "+h, func() bool {
 			return w.send([]string{h, "unity", http.MethodGet, "/listings/1"}) == "answered"
@@ -137,8 +137,9 @@
 	fmt.Fprintln(ts.Stdout(), w.send(args))
 }
 
-// send returns "answered", or the outcome with Ran, or "broken" if the
-// connection failed, as it does with a dead host.
+// send sends a request and returns "answered" for status 200 and otherwise the
+// outcome and Ran from the response. If the connection fails, for example because
+// the host is dead, send returns "broken".
 func (w *scriptState) send(args []string) string {
 	id := ""
 	if len(args) > 4 {
--- a/separation/cluster_test.go
+++ b/separation/cluster_test.go
@@ -134,9 +134,9 @@
 	}
 }
 
-// call performs a call from a to b, which runs f. If the link from a to b is
-// blocked, it fails without running f. If the link from b to a is blocked, it runs
-// f and then fails.
+// call simulates a call from a to b that runs f on b. If the link from a to b is
+// blocked, the call fails and f does not run. If the link from b to a is blocked, f
+// runs but its answer is lost, so the call fails too.
 func (w *cluster) call(a, b string, f func()) error {
 	if w.blocked[[2]string{a, b}] {
 		return errUnreachable
@@ -151,7 +151,8 @@
 	return nil
 }
 
-// platform returns the store as the named host reaches it.
+// platform returns the store as seen by the named host: calls fail while the store is
+// down or the link between the host and the platform is blocked.
 func (w *cluster) platform(name string) store.Store {
 	call := func(f func()) error {
 		if w.storeDown {
@@ -191,8 +192,8 @@
 	}
 }
 
-// runRound makes every host exchange heartbeats with every other host and then relay
-// new versions, in the order of their names.
+// runRound advances the clock by one heartbeat interval. In the order of their names,
+// the hosts then exchange heartbeats with every other host and relay new versions.
 func (w *cluster) runRound() {
 	w.clock.Advance(heartbeatInterval)
 	for _, a := range w.hostNames() {
@@ -273,8 +274,8 @@
 	return err
 }
 
-// commit edits the host's current configuration and commits it as the successor of
-// version from.
+// commit edits the host's current configuration and commits the result as the
+// successor of version from.
 func (n *testHost) commit(from uint64, edit func(c *config.Config)) (acceptedversion.Acceptedversion, bool, error) {
 	k := &configcommit.Configcommit{
 		Store: n.cluster.platform(n.self.Name), Clock: instantClock{n.cluster.clock},
@@ -317,7 +318,7 @@
 	return a, ok, err
 }
 
-// singleWaitClock is a clock that ends the host's lease loop at its first wait.
+// singleWaitClock is a clock that ends the host's lease loop when the loop first waits.
 type singleWaitClock struct {
 	*clockwork.FakeClock
 
--- a/separation/fleet_test.go
+++ b/separation/fleet_test.go
@@ -130,8 +130,8 @@
 }
 
 // A client block is published on the platform and then assigned to another region.
-// Look-ups on every host must use it within seconds, although at most two hosts of
-// each failure domain read the list often.
+// Look-ups on every host must use the new assignment within seconds, although at most
+// two hosts of each failure domain read the list of blocks often.
 func TestBlocksReachAllHosts(t *testing.T) {
 	ctx, f := startFleet(t)
 	p := &platformclient.Platformclient{URL: f.PlatformURL, Timeout: time.Second}
@@ -167,11 +167,11 @@
 	return a.Region
 }
 
-// A failure domain is isolated from all others and from the platform. It must refuse
-// non-idempotent requests first, and later all requests, each as not run and with
-// outcome KeyStale, and serve again when the partition ends. The other failure domains
-// must keep serving, and report the host and the failure domain that they do not
-// receive heartbeats from.
+// A failure domain is isolated from all others and from the platform. The isolated host
+// must refuse non-idempotent requests first and all requests later, each time as not run
+// and with outcome KeyStale. After the partition ends, this host must serve requests
+// again. The other failure domains must continue to serve requests, and their status must
+// list the isolated host and its failure domain as silent.
 func TestIsolatedDomainRefusesStaleKeys(t *testing.T) {
 	ctx, f := startFleet(t)
 	const h = "abuja-1-a"
--- a/separation/hostlist_test.go
+++ b/separation/hostlist_test.go
@@ -18,10 +18,10 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// The platform's host list is outdated for a minute: it contains host "dead", which no
-// longer runs, and lacks host "new", which does. A look-up on host "a" must return the hosts
-// that answer heartbeats, which are "c" from the list and "new", known through the
-// heartbeats of "c". It must never return "dead".
+// The platform's host list is outdated for a minute: the list contains host "dead", which
+// no longer runs, and lacks host "new", which runs. A look-up on host "a" must return the
+// hosts that answer heartbeats: "c", which is on the list, and "new", which the heartbeats
+// of "c" mention. The look-up must never return "dead".
 func TestOutdatedHostList(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	ctx, f := context.WithCancel(context.Background())
--- a/separation/scenario_test.go
+++ b/separation/scenario_test.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// raceCommit makes the store lose its answer to the next commit, and commits a change
-// through another host before the first one reads the row back:
+// raceCommit makes the store lose its answer to the next commit. Before the host that
+// made this commit reads the row back, HOST commits another change:
 // race HOST EDIT ARGS...
 func raceCommit(s script, args []string) {
 	s.cluster.loseAnswers = 1
@@ -266,8 +266,8 @@
 	s.cluster.table = new(memorytable.Memorytable)
 }
 
-// printContentConflicts prints for each host whether it has received a different
-// content under the same version: forks.
+// printContentConflicts prints for each host whether it has received two different
+// contents with the same version number: forks.
 func printContentConflicts(s script, _ []string) {
 	for _, n := range s.cluster.hostNames() {
 		s.print("%s: other contents seen %t", n, s.cluster.hosts[n].configFollower.Replica().Divergences() > 0)
--- a/separation/version_test.go
+++ b/separation/version_test.go
@@ -15,10 +15,10 @@
 	"celeryreach.example/celeryreach/wire"
 )
 
-// convergenceRounds is the number of heartbeat rounds within which all hosts have the
-// same version, once the network works again and one host has read the platform. It
-// covers the second in which a peer is not retried after a failure (five rounds), and
-// two more rounds.
+// convergenceRounds is the number of heartbeat rounds within which all hosts must have
+// the same version after the network works again and one host has read the platform. A
+// relay does not retry a failed peer for one second, which is five rounds. Two further
+// rounds are added.
 const convergenceRounds = 7
 
 var verbs = []string{"commit", "commit", "lose", "poll", "beat", "round", "cut", "heal", "restart", "store", "torn"}
@@ -40,8 +40,8 @@
 	return rapid.SliceOfN(a, 1, 60)
 }
 
-// If a host's configuration went back to an older version, a withdrawn key or a
-// previous, higher rate would apply again on that host. The schedules mix commits with
+// If a host's configuration went back to an older version, that host would again accept
+// a withdrawn key or allow an earlier, higher rate. The schedules mix commits with
 // lost answers, reads, relays, restarts, one-way partitions, truncated contents and
 // store outages. No process's version may decrease, a version may have only one
 // content, and after all faults end every host must have the newest version within
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// adoptContent is the faulty variant of a host: it takes a peer's configuration even
-// if its version is lower.
+// adoptContent simulates a faulty host that adopts a peer's configuration even if the
+// peer's version is lower than its own.
 func (n *testHost) adoptContent(from string, v *wire.Version) {
 	_, h, b := n.cluster.hosts[from].configFollower.Content()
 	if v.Version == 0 || v.Version == n.version() {
--- a/service/service.go
+++ b/service/service.go
@@ -17,9 +17,9 @@
 	// Deferrable marks requests that may wait, such as exports. They are served
 	// only when no other requests wait.
 	Deferrable bool `json:",omitzero"`
-	// SharedWith names the service whose backend servers also answer this one.
-	// It is empty if the service has its own. Deferrable requests are served
-	// after those of that service.
+	// SharedWith is the name of another service whose backend servers also answer
+	// requests of this service. It is empty if this service has its own backend
+	// servers. Deferrable requests are served after the requests of the other service.
 	SharedWith string `json:",omitzero"`
 	// Timeout is the maximum duration of a request whose caller specifies no
 	// deadline.
--- a/status/status.go
+++ b/status/status.go
@@ -1,5 +1,5 @@
-// Package status describes the state of a host and what it knows about other
-// hosts.
+// Package status describes the state of a host and the state of other hosts as
+// reported to this host.
 package status
 
 import (
@@ -23,7 +23,7 @@
 	Loads []load.Load
 	// Shares are the host's shares of the client accounts' limits.
 	Shares []share.Share
-	// SlotsLent is the number of own slots that are on loan to other hosts.
+	// SlotsLent is the number of this host's slots that are on loan to other hosts.
 	SlotsLent int
 	// SlotsBorrowed is the number of slots that are on loan from other hosts.
 	SlotsBorrowed int
--- a/stress/checker_test.go
+++ b/stress/checker_test.go
@@ -8,8 +8,8 @@
 	"celeryreach.example/celeryreach/outcome"
 )
 
-// Checks the checker itself: it must report each kind of violation and nothing
-// for a correct run.
+// The checker must report each kind of violation, and must report nothing for a
+// correct run.
 func TestCheckerFindsEachViolation(t *testing.T) {
 	a := attemptResult{id: "a-0", request: "a", atMostOnce: true, reportedRan: outcome.RanYes}
 	b := attemptResult{id: "a-1", request: "a", atMostOnce: true, reportedRan: outcome.RanNo}
--- a/stress/faults.go
+++ b/stress/faults.go
@@ -17,8 +17,8 @@
 	maxFaultyRequests = 8
 )
 
-// injectFaults injects random faults until ctx ends. Store faults and
-// partitions are over when it returns.
+// injectFaults injects random faults until ctx ends. It ends each store fault and
+// partition that it has started before it returns.
 func (s *Stress) injectFaults(ctx context.Context, done chan<- error) {
 	r := rand.New(rand.NewPCG(s.Seed, ^uint64(0)))
 	s.faultCounts = make(map[string]int)
--- a/stress/leave_test.go
+++ b/stress/leave_test.go
@@ -15,10 +15,10 @@
 	"celeryreach.example/celeryreach/settings"
 )
 
-// A host is shut down while it runs a request. It must complete the request and
-// end without an error. Before it ends, look-ups at the other host must stop
-// returning it, and new requests to it must be refused as "not run" with the
-// other host as an alternative, or fail to connect.
+// A host is shut down while it runs a request. This host must complete the request
+// and end without an error. Before it ends, look-ups at the other host must no
+// longer return this host. New requests to this host must either fail to connect or
+// be refused as "not run" with the other host as an alternative.
 func TestShutdownCompletesRunningRequests(t *testing.T) {
 	c := newConfig()
 	c.Domains = c.Domains[:1]
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -38,9 +38,9 @@
 	c := make([]context.CancelFunc, n)
 	d := make([]chan struct{}, n)
 	for i := range s.Children {
-		// The children's contexts are not derived from the cancellation of ctx:
-		// it would stop all children at once and abort the requests that the
-		// last ones still drain.
+		// The children's contexts do not end with ctx. Otherwise all children
+		// would stop at once, and the requests that the last children are still
+		// draining would be aborted.
 		x, f := context.WithCancel(context.WithoutCancel(ctx))
 		c[i] = f
 		d[i] = make(chan struct{})
--- a/supervisor/supervisor_test.go
+++ b/supervisor/supervisor_test.go
@@ -45,9 +45,9 @@
 }
 
 // A component fails repeatedly, for example because its port is in use. The
-// delay before each restart grows up to a bound, so that a broken component
-// uses few resources, and is short again after a long run. Each failure logs
-// one line.
+// delay before each restart must grow up to a bound, so that a broken component
+// uses few resources. After a long run, the delay must be short again. Each failure
+// must log one line.
 func TestRestartWithBackoff(t *testing.T) {
 	c := clockwork.NewFakeClock()
 	r := make(trace, 100)
@@ -87,9 +87,9 @@
 	must.True(t, strings.HasSuffix(strings.TrimSpace(b.String()), "Wait=1s"))
 }
 
-// Components stop in reverse order of their start, each after those that depend
-// on it have ended, so that a request in flight keeps what it needs. A
-// component that has returned without an error is not restarted.
+// Components stop in reverse order of their start. Each component stops only after
+// the components that depend on it have ended, so that a request in flight can
+// still use it. A component that has returned without an error is not restarted.
 func TestStopOrder(t *testing.T) {
 	r := make(trace, 100)
 	s := &supervisor.Supervisor{
--- a/targetsize/targetsize.go
+++ b/targetsize/targetsize.go
@@ -21,7 +21,7 @@
 	Lookups float64
 	// Changes is the number of configuration changes per second.
 	Changes float64
-	// PropagationTime is the time within which a change takes effect on all hosts.
+	// PropagationTime is the time within which a change must take effect on all hosts.
 	PropagationTime time.Duration
 	// Core is the fraction of a CPU core that the control plane may use on a host.
 	Core float64
